--- a/adapter/decode.cpp
+++ b/adapter/decode.cpp
@@ -18,24 +18,24 @@
   return value >= 4294967040.0F ? UINT32_MAX : static_cast<std::uint32_t>(value);
 }
 
-Ending ending_of(std::uint16_t code, std::size_t offset) {
+AttemptOutcome ending_of(std::uint16_t code, std::size_t offset) {
   switch (code) {
     case 0:
-      return Ending::ok;
+      return AttemptOutcome::ok;
     case 1:
-      return Ending::cancelled;
+      return AttemptOutcome::cancelled;
     case 4:
-      return Ending::timeout;
+      return AttemptOutcome::timeout;
     case 8:
-      return Ending::full;
+      return AttemptOutcome::full;
     case 9:
-      return Ending::not_sent;
+      return AttemptOutcome::not_sent;
     case 10:
-      return Ending::reset;
+      return AttemptOutcome::reset;
     case 13:
-      return Ending::busy_or_error;
+      return AttemptOutcome::busy_or_error;
     case 14:
-      return Ending::connect_failed;
+      return AttemptOutcome::connect_failed;
     default:
       throw WireError("unknown ending " + std::to_string(code) + " before byte " + std::to_string(offset));
   }
@@ -67,16 +67,16 @@
   CallArrived call;
   call.call = CallId{in.take<std::uint64_t>()};
   in.take_float();  // lines wanted: the class gives them as well
-  call.number = NumberCalled{in.take<std::uint64_t>()};
+  call.number = CalledNumber{in.take<std::uint64_t>()};
   call.tenant = in.take<std::uint16_t>();
   call.work_hint = in.take_duration();
-  call.caller_leaves = in.take_time();
+  call.caller_leaves_at = in.take_time();
   call.call_class = in.take<std::uint16_t>();
   in.take_float();  // advised route or origin: not used
   const auto bits = in.take<std::uint8_t>();
   call.redial = (bits & 2U) != 0;
   call.in_transit = (bits & 8U) != 0;
-  call.cut_before = (bits & 16U) != 0;
+  call.dropped_before = (bits & 16U) != 0;
   call.destination = whole(in.take_float());
   return call;
 }
@@ -88,7 +88,7 @@
   const auto why = in.take<std::uint32_t>();
   ended.attempt = in.take<std::uint16_t>();
   ended.server = ServerId{in.take<std::uint32_t>()};
-  ended.call_over = in.take<std::uint8_t>() != 0;
+  ended.call_ended = in.take<std::uint8_t>() != 0;
   ended.ending = ending_of(in.take<std::uint16_t>(), in.offset());
   ended.elapsed = in.take_duration();
   finished.values = in.take_floats();
@@ -103,25 +103,25 @@
       ended.reason = FullReason::processor;
       break;
     case 4:
-      ended.number_busy = ended.ending == Ending::busy_or_error;
+      ended.number_busy = ended.ending == AttemptOutcome::busy_or_error;
       break;
     default:
       break;
   }
-  if (ended.reason == FullReason::processor) ended.told_wait = std::chrono::milliseconds{why / 16};
+  if (ended.reason == FullReason::processor) ended.requested_wait = std::chrono::milliseconds{why / 16};
   return finished;
 }
 
-PeerSaid read_peer_said(FieldReader& in) {
-  PeerSaid said;
+PeerMessageReceived read_peer_said(FieldReader& in) {
+  PeerMessageReceived said;
   said.gateway = in.take<std::uint32_t>();
   const auto bytes = in.take_bytes(in.take<std::uint16_t>());
   said.bytes.assign(bytes.begin(), bytes.end());
   return said;
 }
 
-CallStands read_call_stands(FieldReader& in) {
-  CallStands stands;
+CallEstablished read_call_stands(FieldReader& in) {
+  CallEstablished stands;
   stands.call = CallId{in.take<std::uint64_t>()};
   stands.attempt = in.take<std::uint16_t>();
   stands.server = ServerId{in.take<std::uint32_t>()};
--- a/adapter/encode.cpp
+++ b/adapter/encode.cpp
@@ -67,7 +67,7 @@
     put(out, static_cast<std::uint32_t>(close.server));
     return ActionCode::close_idle_connections;
   }
-  ActionCode operator()(const TellPeers& tell) const {
+  ActionCode operator()(const SendToPeers& tell) const {
     put(out, kAllPeers);
     put_text(out, tell.bytes, kMostPeerBytes);
     return ActionCode::tell_peers;
@@ -76,11 +76,11 @@
     put_text(out, bytes_of(line.text), UINT16_MAX);
     return ActionCode::log_line;
   }
-  ActionCode operator()(const SubscribeToList& subscribe) const {
+  ActionCode operator()(const SubscribeToServerList& subscribe) const {
     put(out, static_cast<std::uint8_t>(subscribe.on ? 1 : 0));
     return ActionCode::subscribe_to_list;
   }
-  ActionCode operator()(const FetchList& /*fetch*/) const { return ActionCode::fetch_list; }
+  ActionCode operator()(const FetchServerList& /*fetch*/) const { return ActionCode::fetch_list; }
 };
 
 void put_record(Bytes& body, ActionCode code, const Bytes& fields) {
--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -82,11 +82,11 @@
   if (const auto* announce = std::get_if<Announce>(&record)) {
     const auto list = lists_.find(announce->list);
     if (announce->form == AnnounceForm::failed) {
-      event = ListFailed{};
+      event = ServerListFailed{};
     } else if (list == lists_.end()) {
       complain_("list " + std::to_string(announce->list) + " was never defined: announcement skipped");
     } else {
-      event = ListTold{announce->form != AnnounceForm::delta, list->second};
+      event = ServerListReceived{announce->form != AnnounceForm::delta, list->second};
     }
   } else if (auto* finished = std::get_if<Finished>(&record)) {
     finished->ended.report = name_values(instance.columns, finished->values);
@@ -96,13 +96,13 @@
     event = ping->reported;
   } else if (const auto* arrived = std::get_if<CallArrived>(&record)) {
     event = *arrived;
-  } else if (const auto* stands = std::get_if<CallStands>(&record)) {
+  } else if (const auto* stands = std::get_if<CallEstablished>(&record)) {
     event = *stands;
   } else if (const auto* left = std::get_if<CallerLeft>(&record)) {
     event = *left;
   } else if (const auto* timer = std::get_if<TimerFired>(&record)) {
     event = *timer;
-  } else if (auto* said = std::get_if<PeerSaid>(&record)) {
+  } else if (auto* said = std::get_if<PeerMessageReceived>(&record)) {
     event = std::move(*said);
   }
   if (!event) return;
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -55,8 +55,8 @@
   std::vector<float> values;
 };
 
-using Record = std::variant<About, Launch, Teardown, List, Announce, CallArrived, CallStands, Finished,
-                            CallerLeft, TimerFired, PingResult, PeerSaid>;
+using Record = std::variant<About, Launch, Teardown, List, Announce, CallArrived, CallEstablished, Finished,
+                            CallerLeft, TimerFired, PingResult, PeerMessageReceived>;
 
 struct Batch {
   std::uint32_t number = 0;
--- a/bench/module_figures.cpp
+++ b/bench/module_figures.cpp
@@ -29,7 +29,7 @@
     const Time end = now_ + day;
     std::vector<ServerEntry> all;
     for (std::uint32_t i = 0; i < 12; ++i) all.push_back({.server = ServerId{i}, .place = i % 6});
-    at(now_, ListTold{true, all});
+    at(now_, ServerListReceived{true, all});
     for (Time t = now_; t < end; t += part(gap)) at(t, arrival(t));
     for (Time t = now_ + 1s; t < end; t += part(1500ms)) at(t, list_change(t));
     for (Time t = now_; t < end; t += part(150ms)) {
@@ -76,16 +76,16 @@
   CallArrived arrival(Time t) {
     CallArrived call{.call = CallId{++calls_},
                      .call_class = below(static_cast<std::uint32_t>(set_.classes.size()))};
-    call.number = NumberCalled{below(400)};
+    call.number = CalledNumber{below(400)};
     call.work_hint = part(10ms);
-    call.caller_leaves = t + part(4s);
+    call.caller_leaves_at = t + part(4s);
     call.destination = below(6);
-    call.cut_before = below(50) == 0;
+    call.dropped_before = below(50) == 0;
     call.in_transit = set_.shape == Shape::mesh && below(5) == 0;
     if (below(8) == 0) at(t + part(1s), CallerLeft{call.call});
     return call;
   }
-  ListTold list_change(Time t) {
+  ServerListReceived list_change(Time t) {
     const ServerId id{below(12)};
     const bool back = below(3) > 0;
     return {false,
@@ -102,7 +102,7 @@
   bool wanted(const Event& event) {
     if (const auto* call = std::get_if<CallArrived>(&event)) open_[call->call] = *call;
     if (const auto* left = std::get_if<CallerLeft>(&event)) return open_.erase(left->call) > 0;
-    if (const auto* stood = std::get_if<CallStands>(&event)) open_.erase(stood->call);
+    if (const auto* stood = std::get_if<CallEstablished>(&event)) open_.erase(stood->call);
     return true;
   }
 
@@ -125,9 +125,9 @@
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       add(static_cast<std::uint64_t>(timer->at.time_since_epoch().count()));
       at(timer->at, TimerFired{timer->token});
-    } else if (std::holds_alternative<SubscribeToList>(action)) {
+    } else if (std::holds_alternative<SubscribeToServerList>(action)) {
       ++kinds_["asked"];
-      if (below(3) == 0) at(now_ + part(500ms), ListFailed{});
+      if (below(3) == 0) at(now_ + part(500ms), ServerListFailed{});
     } else if (const auto* line = std::get_if<LogLine>(&action)) {
       ++kinds_["lines"];
       for (const char c : line->text) add(static_cast<unsigned char>(c));
@@ -141,19 +141,20 @@
     AttemptEnded ended{.call = send.call, .attempt = attempts_[send.call]++, .server = send.server};
     const std::uint32_t fate = slow ? below(140) : below(1000);
     ended.elapsed = took;
-    ended.call_over = below(100) == 0;
+    ended.call_ended = below(100) == 0;
     if (below(20) == 0) ended.report = {.free_lines = static_cast<double>(below(60)), .lines = 100.0};
     if (fate == 0 || now_ + took > send.give_up) {
-      ended.ending = Ending::timeout;
+      ended.ending = AttemptOutcome::timeout;
       ended.elapsed = send.give_up - now_;
     } else if (fate < 40) {
-      ended.ending = std::array{Ending::full, Ending::busy_or_error, Ending::connect_failed, Ending::reset,
-                                Ending::not_sent}[fate % 5];
+      ended.ending =
+          std::array{AttemptOutcome::full, AttemptOutcome::busy_or_error, AttemptOutcome::connect_failed,
+                     AttemptOutcome::reset, AttemptOutcome::not_sent}[fate % 5];
       ended.reason = below(2) == 0 ? FullReason::no_lines : FullReason::processor;
-      ended.told_wait = ended.ending == Ending::full ? part(300ms) : Duration{};
-      ended.number_busy = ended.ending == Ending::busy_or_error && below(2) == 0;
+      ended.requested_wait = ended.ending == AttemptOutcome::full ? part(300ms) : Duration{};
+      ended.number_busy = ended.ending == AttemptOutcome::busy_or_error && below(2) == 0;
     } else {
-      return at(now_ + took, CallStands{send.call, ended.attempt, send.server, took});
+      return at(now_ + took, CallEstablished{send.call, ended.attempt, send.server, took});
     }
     at(now_ + ended.elapsed, ended);
   }
@@ -166,7 +167,7 @@
     call.call = CallId{++calls_};
     call.redial = set_.redials_marked;
     const Time t = now_ + std::max(after, part(400ms));
-    call.caller_leaves = t + part(3s);
+    call.caller_leaves_at = t + part(3s);
     at(t, call);
   }
 
--- a/include/reeltack/actions.h
+++ b/include/reeltack/actions.h
@@ -45,20 +45,21 @@
 struct CloseIdleConnections {
   ServerId server{};
 };
-struct TellPeers {
+struct SendToPeers {
   std::vector<std::uint8_t> bytes;
 };
-struct SubscribeToList {
+struct SubscribeToServerList {
   bool on = true;
 };
-struct FetchList {};
+struct FetchServerList {};
 // A line for the gateway's log, for on-call staff.
 struct LogLine {
   std::string text;
 };
 
-using Action = std::variant<SendSetUp, Refuse, Fail, CancelAttempt, SetTimer, ProbeServer,
-                            CloseIdleConnections, TellPeers, SubscribeToList, FetchList, LogLine>;
+using Action =
+    std::variant<SendSetUp, Refuse, Fail, CancelAttempt, SetTimer, ProbeServer, CloseIdleConnections,
+                 SendToPeers, SubscribeToServerList, FetchServerList, LogLine>;
 using ActionSink = std::vector<Action>;
 
 }  // namespace reeltack
--- a/include/reeltack/events.h
+++ b/include/reeltack/events.h
@@ -28,35 +28,35 @@
 };
 
 // The servers that the gateway is told of. A complete list replaces all; otherwise only the entries change.
-struct ListTold {
+struct ServerListReceived {
   bool complete = false;
   std::vector<ServerEntry> entries;
 };
 
 // Asking for the list failed or the subscription broke; the list held stays in force.
-struct ListFailed {};
+struct ServerListFailed {};
 
 struct CallArrived {
   CallId call{};
   std::uint32_t call_class = 0;
   std::uint32_t tenant = 0;
-  NumberCalled number{};
+  CalledNumber number{};
   Duration work_hint{};
-  Time caller_leaves{};  // a final answer is due by then
+  Time caller_leaves_at{};  // a final answer is due by then
   std::uint32_t destination = 0;
   bool redial = false;
-  bool in_transit = false;  // may go to its destination only
-  bool cut_before = false;  // a standing call that was cut and comes again
+  bool in_transit = false;      // may go to its destination only
+  bool dropped_before = false;  // a standing call that was cut and comes again
 };
 
-struct CallStands {
+struct CallEstablished {
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId server{};
   Duration elapsed{};
 };
 
-enum class Ending { ok, busy_or_error, full, timeout, connect_failed, reset, cancelled, not_sent };
+enum class AttemptOutcome { ok, busy_or_error, full, timeout, connect_failed, reset, cancelled, not_sent };
 enum class FullReason { unknown, no_lines, turned_back, processor };
 
 struct LoadReport {
@@ -70,11 +70,11 @@
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId server{};
-  Ending ending = Ending::ok;
-  bool call_over = false;    // no final answer is owed any more
+  AttemptOutcome ending = AttemptOutcome::ok;
+  bool call_ended = false;   // no final answer is owed any more
   bool number_busy = false;  // with busy_or_error: all lines of the number called are taken
   FullReason reason = FullReason::unknown;
-  Duration told_wait{};  // with full: the server asks to be left alone for so long
+  Duration requested_wait{};  // with full: the server asks to be left alone for so long
   Duration elapsed{};
   LoadReport report{};
 };
@@ -97,7 +97,7 @@
 
 // What this gateway may do while several return together after a loss; whole each time. Without it: no
 // bounds.
-struct TermsTold {
+struct AdmissionLimitsReceived {
   std::vector<Duration> closed;  // by class: refused at once, to come back in so long; 0 or not there: open
   struct Pace {
     ServerId server{};
@@ -106,12 +106,13 @@
   std::vector<Pace> paces;
 };
 
-struct PeerSaid {
+struct PeerMessageReceived {
   std::uint32_t gateway = 0;
   std::vector<std::uint8_t> bytes;
 };
 
-using Event = std::variant<ListTold, ListFailed, CallArrived, CallStands, AttemptEnded, CallerLeft,
-                           TimerFired, ServerReported, PeerSaid, TermsTold>;
+using Event =
+    std::variant<ServerListReceived, ServerListFailed, CallArrived, CallEstablished, AttemptEnded, CallerLeft,
+                 TimerFired, ServerReported, PeerMessageReceived, AdmissionLimitsReceived>;
 
 }  // namespace reeltack
--- a/include/reeltack/settings.h
+++ b/include/reeltack/settings.h
@@ -25,7 +25,7 @@
 
 enum class CallId : std::uint64_t {};
 enum class ServerId : std::uint32_t {};
-enum class NumberCalled : std::uint64_t {};  // 0: not told
+enum class CalledNumber : std::uint64_t {};  // 0: not told
 enum class TimerToken : std::uint64_t {};
 
 enum class Effect { repeatable, by_key, once };
--- a/src/clocks/start_times.cpp
+++ b/src/clocks/start_times.cpp
@@ -33,7 +33,7 @@
 
 std::optional<Duration> StartTimes::most_age(From from, Time now, const Known& known) const {
   const std::optional<Time>& since = from == From::endpoint ? known.registered : followed_;
-  return since ? std::optional(now - *since + kToldWithin) : std::nullopt;
+  return since ? std::optional(now - *since + kMaxDiscoveryDelay) : std::nullopt;
 }
 
 Time StartTimes::keep(From from, const Reading& now, const ServerEntry& entry) {
@@ -47,8 +47,8 @@
   }
   const Time started = at->second;
   if (from == From::endpoint) known.registered = now.steady;
-  if (known.starts.size() > kMostStarts) known.starts.erase(known.starts.begin());
-  if (known_.size() > kMostEndpoints) forget_oldest();
+  if (known.starts.size() > kMaxStartsPerEndpoint) known.starts.erase(known.starts.begin());
+  if (known_.size() > kMaxEndpoints) forget_oldest();
   return started;
 }
 
--- a/src/clocks/start_times.h
+++ b/src/clocks/start_times.h
@@ -18,9 +18,9 @@
 //     count for it.
 //   - A start newer than the one known of that endpoint, or of an endpoint not known, while discovery is
 //   followed:
-//     discovery has told it within kToldWithin, so that its age is that at the most, plus the time since
-//     discovery was last known to be followed. The first list that it tells is that of the program's start,
-//     so that from then on it counts as having been followed at that moment.
+//     discovery has told it within kMaxDiscoveryDelay, so that its age is that at the most, plus the time
+//     since discovery was last known to be followed. The first list that it tells is that of the program's
+//     start, so that from then on it counts as having been followed at that moment.
 //   - Of an endpoint that registers itself discovery knows nothing. Its newer start is no older than the time
 //   since
 //     the process before was last told of, and the same allowance for noticing that it had ended.
@@ -40,9 +40,9 @@
 namespace reeltack::clocks {
 
 // The protocol: what discovery has to tell counts as told so much later at the latest.
-inline constexpr Duration kToldWithin = std::chrono::seconds(7);
-inline constexpr std::size_t kMostEndpoints = 8192;  // whose starts are kept
-inline constexpr std::size_t kMostStarts = 4;        // of one endpoint
+inline constexpr Duration kMaxDiscoveryDelay = std::chrono::seconds(7);
+inline constexpr std::size_t kMaxEndpoints = 8192;       // whose starts are kept
+inline constexpr std::size_t kMaxStartsPerEndpoint = 4;  // of one endpoint
 
 class StartTimes {
  public:
--- a/src/config/controllers.cpp
+++ b/src/config/controllers.cpp
@@ -84,7 +84,7 @@
 
  private:
   void terms(const json& top, Controllers& out) {
-    fleet::TurnSettings& t = out.turn;
+    fleet::CoordinatorSettings& t = out.turn;
     const json probes = top.value("probes", json::object());
     t.members.period = span_above_zero(probes, "/fleet/probes", "period", t.members.period);
     t.members.probe_timeout = span_above_zero(probes, "/fleet/probes", "timeout", t.members.probe_timeout);
@@ -94,7 +94,7 @@
                                         yaml::show_span(t.members.period) +
                                         ": the probe through others needs the rest of it");
     const json exchange = top.value("exchange", json::object());
-    fleet::pace::PaceSettings& pace = t.pace;
+    fleet::pace::GossipScheduleSettings& pace = t.pace;
     pace.every = span_above_zero(exchange, "/fleet/exchange", "every", pace.every);
     pace.urgent = span_above_zero(exchange, "/fleet/exchange", "urgent", pace.urgent);
     pace.bytes = exchange.value("bytes", pace.bytes);
@@ -103,17 +103,17 @@
     const json recovery = top.value("recovery", json::object());
     fleet::recovery::RecoverySettings& r = t.recovery;
     const std::string at = "/fleet/recovery";
-    r.asking_most = span_above_zero(recovery, at, "asking", r.asking_most);
-    r.probation_most = span_above_zero(recovery, at, "probation", r.probation_most);
-    r.partial_most = span_above_zero(recovery, at, "partial", r.partial_most);
-    r.opening_least = span_above_zero(recovery, at, "opening", r.opening_least);
+    r.max_asking = span_above_zero(recovery, at, "asking", r.max_asking);
+    r.max_probation = span_above_zero(recovery, at, "probation", r.max_probation);
+    r.max_partial = span_above_zero(recovery, at, "partial", r.max_partial);
+    r.min_opening_time = span_above_zero(recovery, at, "opening", r.min_opening_time);
     r.fresh = span_above_zero(recovery, at, "fresh", r.fresh);
     r.enough = recovery.value("enough", r.enough);
     r.too_little = recovery.value("too_little", r.too_little);
     if (r.too_little >= r.enough)
       fail(at + "/too_little", "must be below enough, or service would swing between two stages");
     r.leases.lease = span_above_zero(recovery, at, "lease", r.leases.lease);
-    r.leases.least_size = out.size;
+    r.leases.min_size = out.size;
     const json half = recovery.value("half_life", json::object());
     r.offices.half_life_state = span_above_zero(half, at + "/half_life", "state", r.offices.half_life_state);
     r.offices.half_life_list = span_above_zero(half, at + "/half_life", "list", r.offices.half_life_list);
--- a/src/config/controllers.h
+++ b/src/config/controllers.h
@@ -25,10 +25,11 @@
   std::size_t size = 1;
   std::vector<base::Address> seeds;
   std::map<std::string, base::Address> via;
-  std::string store;         // a folder; empty: nothing is kept
-  std::string rules_file;    // of the version of the rules that an operator offers; empty: none
-  Duration wall_offset{};    // for tests
-  fleet::TurnSettings turn;  // with the platform's rules on cold offices and the classes taken from `node`
+  std::string store;       // a folder; empty: nothing is kept
+  std::string rules_file;  // of the version of the rules that an operator offers; empty: none
+  Duration wall_offset{};  // for tests
+  fleet::CoordinatorSettings
+      turn;  // with the platform's rules on cold offices and the classes taken from `node`
 };
 
 Controllers read_controllers(const std::string& path, const Node& node);  // throws yaml::Error
--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -7,12 +7,12 @@
 namespace reeltack::config {
 namespace {
 
-using fleet::TurnSettings;
-using T = TurnSettings;
+using fleet::CoordinatorSettings;
+using T = CoordinatorSettings;
 using Members = fleet::members::MembersSettings;
-using Pace = fleet::pace::PaceSettings;
+using Pace = fleet::pace::GossipScheduleSettings;
 using Recovery = fleet::recovery::RecoverySettings;
-using Leases = fleet::recovery::LeasesSettings;
+using Leases = fleet::recovery::LeaseSettings;
 using Offices = fleet::recovery::OfficesSettings;
 using rules::entry;
 using rules::Severity;
@@ -24,12 +24,12 @@
     entry<T, &T::pace, &Pace::every>("every", Severity::notice),
     entry<T, &T::pace, &Pace::urgent>("urgent", Severity::notice),
     entry<T, &T::pace, &Pace::bytes>("bytes", Severity::notice),
-    entry<T, &T::recovery, &Recovery::leases, &Leases::least_size>("size"),
+    entry<T, &T::recovery, &Recovery::leases, &Leases::min_size>("size"),
     entry<T, &T::recovery, &Recovery::leases, &Leases::lease>("lease"),
-    entry<T, &T::recovery, &Recovery::asking_most>("asking"),
-    entry<T, &T::recovery, &Recovery::probation_most>("probation"),
-    entry<T, &T::recovery, &Recovery::partial_most>("partial"),
-    entry<T, &T::recovery, &Recovery::opening_least>("opening"),
+    entry<T, &T::recovery, &Recovery::max_asking>("asking"),
+    entry<T, &T::recovery, &Recovery::max_probation>("probation"),
+    entry<T, &T::recovery, &Recovery::max_partial>("partial"),
+    entry<T, &T::recovery, &Recovery::min_opening_time>("opening"),
     entry<T, &T::recovery, &Recovery::fresh>("fresh"),
     entry<T, &T::recovery, &Recovery::enough>("enough"),
     entry<T, &T::recovery, &Recovery::too_little>("too_little"),
@@ -49,10 +49,10 @@
 
 }  // namespace
 
-void add_terms(const TurnSettings& settings, rules::Tree& to) {
+void add_terms(const CoordinatorSettings& settings, rules::Tree& to) {
   for (const auto& e : kTerms) static_cast<void>(to.put(std::string(kSection) + e.name, e.get(settings)));
 }
-std::string lay_over(TurnSettings& settings, std::string_view key, std::string_view value) {
+std::string lay_over(CoordinatorSettings& settings, std::string_view key, std::string_view value) {
   const auto* e = term(key);
   if (e == nullptr) return std::string(key) + ": is no rule";
   if (e->set(settings, value)) return {};
--- a/src/config/terms.h
+++ b/src/config/terms.h
@@ -12,9 +12,9 @@
 
 namespace reeltack::config {
 
-void add_terms(const fleet::TurnSettings& settings, rules::Tree& to);
+void add_terms(const fleet::CoordinatorSettings& settings, rules::Tree& to);
 // Lays one over the settings; empty if it is done, else why not.
-std::string lay_over(fleet::TurnSettings& settings, std::string_view key, std::string_view value);
+std::string lay_over(fleet::CoordinatorSettings& settings, std::string_view key, std::string_view value);
 std::optional<rules::Type> type_of_term(std::string_view key);  // nothing: no term has this key
 
 }  // namespace reeltack::config
--- a/src/config/versions.cpp
+++ b/src/config/versions.cpp
@@ -18,7 +18,7 @@
 
 std::optional<Type> type_of(std::string_view key, const Node& node) {
   if (const auto term = type_of_term(key)) return term;
-  const auto meaning = rules::meaning_of(key, node.class_names, node.settings.tenants.size());
+  const auto meaning = rules::rule_info(key, node.class_names, node.settings.tenants.size());
   return meaning ? std::optional(meaning->type) : std::nullopt;
 }
 
@@ -41,7 +41,7 @@
       if (!top.contains(of)) continue;
       for (const auto& [name, rules] : top[of].items())
         take(rules, std::string("/version/") + of + "/" + name,
-             (of[0] == 'z' ? out.zones : out.names)[rules::spelt_name(name)]);
+             (of[0] == 'z' ? out.zones : out.names)[rules::escape_name(name)]);
     }
     if (!failed()) check(out);
     finish();
@@ -58,7 +58,7 @@
         continue;
       }
       const auto text = spelt(value, *type);
-      if (text && rules::is_spelt(*type, *text))
+      if (text && rules::is_canonical(*type, *text))
         into.insert_or_assign(key, *text);
       else
         fail(place(at, key), std::string("must be ") + wanted(*type) + ", not " + value.dump());
@@ -74,18 +74,19 @@
     switch (type) {
       case Type::duration:
         try {
-          return value.is_string() ? std::optional(rules::spell(yaml::parse_span(value))) : std::nullopt;
+          return value.is_string() ? std::optional(rules::to_canonical(yaml::parse_span(value)))
+                                   : std::nullopt;
         } catch (const std::invalid_argument&) {
           return std::nullopt;
         }
       case Type::number:
-        return value.is_number() ? std::optional(rules::spell(value.get<double>())) : std::nullopt;
+        return value.is_number() ? std::optional(rules::to_canonical(value.get<double>())) : std::nullopt;
       case Type::count:
         return value.is_number_integer() && value.get<std::int64_t>() >= 0
-                   ? std::optional(rules::spell(value.get<std::uint64_t>()))
+                   ? std::optional(rules::to_canonical(value.get<std::uint64_t>()))
                    : std::nullopt;
       case Type::flag:
-        return value.is_boolean() ? std::optional(rules::spell(value.get<bool>())) : std::nullopt;
+        return value.is_boolean() ? std::optional(rules::to_canonical(value.get<bool>())) : std::nullopt;
       case Type::word:
         return value.is_string() ? std::optional(value.get<std::string>()) : std::nullopt;
     }
@@ -96,14 +97,15 @@
     const auto whole = [&](const std::string& name, const std::string& zone, const std::string& at) {
       rules::Tree tree;
       rules::Rules running = rules::read_back(node_.settings, node_.class_names).rules();
-      for (const auto& [key, value] : wanted_of(version, name, zone)) running.insert_or_assign(key, value);
+      for (const auto& [key, value] : required_rules(version, name, zone))
+        running.insert_or_assign(key, value);
       for (const auto& [key, value] : running) static_cast<void>(tree.put(key, value));
-      for (const std::string& broken : rules::broken_bounds(tree)) fail(at, broken);
+      for (const std::string& broken : rules::violated_bounds(tree)) fail(at, broken);
     };
     whole("", "", "/version/rules");
     for (const auto& [zone, rules] : version.zones) whole("", zone, "/version/zones");
     for (const auto& [name, rules] : version.names) whole(name, "", "/version/names");
-    if (write(version).size() > fleet::drift::kMostVersionText)
+    if (write(version).size() > fleet::drift::kMaxVersionBytes)
       fail("/version", "is larger than 40 KB as it spreads");
   }
 
@@ -134,15 +136,15 @@
 std::vector<std::string> lay_over(Node& node, Controllers& controllers, const Version& version) {
   Node changed = node;
   std::vector<std::string> out;
-  const rules::Rules wanted = wanted_of(version, node.name, controllers.zone);
+  const rules::Rules wanted = required_rules(version, node.name, controllers.zone);
   for (const auto& [key, value] : wanted) {
     if (type_of_term(key)) continue;  // below, on what the settings have become
     const std::string why = rules::lay_over(changed.settings, changed.class_names, key, value);
     if (!why.empty()) out.push_back(why);
   }
-  for (std::string& broken : rules::broken_bounds(rules::read_back(changed.settings, changed.class_names)))
+  for (std::string& broken : rules::violated_bounds(rules::read_back(changed.settings, changed.class_names)))
     out.push_back(std::move(broken));
-  fleet::TurnSettings turn = controllers.turn;
+  fleet::CoordinatorSettings turn = controllers.turn;
   for (const auto& [key, value] : wanted) {
     if (!type_of_term(key)) continue;
     const std::string why = lay_over(turn, key, value);
--- a/src/core/admit.cpp
+++ b/src/core/admit.cpp
@@ -17,8 +17,8 @@
     return;
   }
   ++counts_.requests;
-  const Time leaves = request.told.caller_leaves - kAnswerAhead;
-  request.told.caller_leaves = leaves;
+  const Time leaves = request.told.caller_leaves_at - kAnswerAhead;
+  request.told.caller_leaves_at = leaves;
   Record& record = calls_[call];
   record.request = std::move(request);
   record.admitted = now_;
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -26,18 +26,18 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-void Core::tell_ended(const Record& record, const Attempt& attempt, Ending ending, bool call_over,
+void Core::tell_ended(const Record& record, const Attempt& attempt, AttemptOutcome ending, bool call_ended,
                       const Outcome* told) {
   AttemptEnded event;
   event.call = record.request.told.call;
   event.attempt = attempt.number;
   event.server = attempt.office;
   event.ending = ending;
-  event.call_over = call_over;
+  event.call_ended = call_ended;
   event.elapsed = now_ - attempt.sent;
   if (told != nullptr) {
-    event.number_busy = ending == Ending::busy_or_error && told->note == "occupied";
-    if (ending == Ending::full) event.reason = reason_of(told->note);
+    event.number_busy = ending == AttemptOutcome::busy_or_error && told->note == "occupied";
+    if (ending == AttemptOutcome::full) event.reason = reason_of(told->note);
     event.report = told->report;
   }
   events_.emplace_back(event);
@@ -53,7 +53,7 @@
     figures_.ended(record.request.told.call_class,
                    phase == Phase::refused ? figures::End::busy : figures::End::failure);
   const CallId call = record.request.told.call;
-  CallerSide* side = record.request.side;
+  CallerFrontend* side = record.request.side;
   keep_ended(record);
   side->refused(call, why, later);
 }
@@ -99,14 +99,14 @@
   }
   for (const CallId call : cut) {
     Record& record = calls_.at(call);
-    tell_ended(record, {record.attempts - 1, office, now_}, Ending::reset, true);
+    tell_ended(record, {record.attempts - 1, office, now_}, AttemptOutcome::reset, true);
     close(record);
     record.request.side->released(call, kTemporaryFailure);
   }
 }
 
 void Core::list(bool complete, const std::vector<OfficeEntry>& offices) {
-  ListTold event;
+  ServerListReceived event;
   event.complete = complete;
   for (const OfficeEntry& o : offices) event.entries.push_back(o.entry);
   for (const ServerId id : roster_.told(complete, event.entries)) cut_calls_at(id);
@@ -114,7 +114,7 @@
   events_.emplace_back(std::move(event));
 }
 
-void Core::watched(ServerId office, Watcher::Saw what) const {
+void Core::watched(ServerId office, OfficeObserver::OfficeObservation what) const {
   if (watcher_ != nullptr) watcher_->saw(office, what);
 }
 void Core::count_offices() { figures_.listed(roster_.size(), roster_.avoided()); }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -32,12 +32,12 @@
 inline constexpr int kTemporaryFailure = 41;  // Q.850: cut
 
 // Why a request failed; the fronts have names of their own for these.
-enum class Why { none, refused, tried_in_vain, deadline_passed, duplicate, unknown_class, given_up };
+enum class Why { none, refused, attempts_failed, deadline_passed, duplicate, unknown_class, given_up };
 
 // A front, as the core sees it. Called on the core's thread; must not block.
-class CallerSide {
+class CallerFrontend {
  public:
-  virtual ~CallerSide() = default;
+  virtual ~CallerFrontend() = default;
   // False: the answer cannot reach the caller any more.
   virtual bool stands(CallId call, const std::string& description) = 0;
   virtual void refused(CallId call, Why why, Duration later) = 0;
@@ -54,7 +54,7 @@
   ServerId office{};
   Time give_up{};
   std::uint32_t call_class = 0;
-  NumberCalled number{};
+  CalledNumber number{};
   std::string description;
 };
 struct OfficeEntry {
@@ -63,29 +63,35 @@
 };
 
 // The offices, as the core sees them. Must not block. `listed` comes from the thread that heard the news.
-class OfficeSide {
+class OfficeBackend {
  public:
-  virtual ~OfficeSide() = default;
+  virtual ~OfficeBackend() = default;
   virtual void listed(bool complete, const std::vector<OfficeEntry>& offices) = 0;
   virtual void start(const SetUp& set_up) = 0;
   virtual void give_up(ServerId office, CallId call, std::uint32_t attempt) = 0;
   virtual void release(ServerId office, CallId call) = 0;
-  virtual void keep(ServerId office, bool calls_stand) = 0;
+  virtual void keep(ServerId office, bool calls_established) = 0;
 };
 
 // Who looks on at what offices do, to tell others of it. Called on the core's thread; must not block.
-class Watcher {
+class OfficeObserver {
  public:
-  enum class Saw { answered, refused, broke, silent, unreachable };  // refused: turned away by a live office
-  virtual ~Watcher() = default;
-  virtual void saw(ServerId office, Saw what) = 0;
+  enum class OfficeObservation {
+    answered,
+    refused,
+    broke,
+    silent,
+    unreachable
+  };  // refused: turned away by a live office
+  virtual ~OfficeObserver() = default;
+  virtual void saw(ServerId office, OfficeObservation what) = 0;
 };
 
 struct Request {
   CallArrived told;         // with the absolute deadline
   bool class_known = true;  // else it is refused here
   std::string description;
-  CallerSide* side = nullptr;
+  CallerFrontend* side = nullptr;
 };
 
 // What an office said that ends an attempt or a call.
@@ -102,7 +108,7 @@
   Phase phase = Phase::unknown;
   Why why = Why::none;
   std::string description;
-  CallerSide* side = nullptr;
+  CallerFrontend* side = nullptr;
 };
 
 class Core {
@@ -113,14 +119,14 @@
   Core& operator=(const Core&) = delete;
 
   // A release of a call from before this program's start goes to `strays`, if there is one.
-  void start(OfficeSide& offices, CallerSide* strays = nullptr);  // the thread begins; once
-  void stop();                                                    // ends the thread
+  void start(OfficeBackend& offices, CallerFrontend* strays = nullptr);  // the thread begins; once
+  void stop();                                                           // ends the thread
 
   // For fronts, from any thread.
   void request(Request request);
   // A front may end its own calls only.
-  void give_up(CallId call, const CallerSide& side);                 // the caller waits no longer
-  void release(CallId call, const CallerSide& side);                 // the caller ends a call that stands
+  void give_up(CallId call, const CallerFrontend& side);             // the caller waits no longer
+  void release(CallId call, const CallerFrontend& side);             // the caller ends a call that stands
   void ask(CallId call, std::function<void(const Status&)> answer);  // answered on the core's thread
 
   void at(Time time, std::function<void()> task);  // runs it on the core's thread, then or soon after
@@ -129,14 +135,14 @@
   void answered(ServerId office, CallId call, std::string description);
   void ended(Outcome outcome);
   void reported(ServerId office, const LoadReport& report);
-  void send_failed(CallId call, std::uint32_t attempt, Ending ending);
-  void office_died(ServerId office);       // every call that stands there is cut
-  void attempt_left();                     // a set-up has begun to leave to its office
+  void attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome ending);
+  void office_lost(ServerId office);       // every call that stands there is cut
+  void attempt_transmitted();              // a set-up has begun to leave to its office
   void reached(ServerId office, bool up);  // what dialling it has found
   void told(bool complete, std::vector<OfficeEntry> offices);
 
-  void watch(Watcher& watcher) { watcher_ = &watcher; }  // before start()
-  void terms(TermsTold terms);                           // for the module, whole each time; any thread
+  void watch(OfficeObserver& watcher) { watcher_ = &watcher; }  // before start()
+  void terms(AdmissionLimitsReceived terms);                    // for the module, whole each time; any thread
 
   void refuse_all();  // whatever is still open, at once: the program's time is up
 
@@ -151,7 +157,7 @@
   [[nodiscard]] const Counts& counts() const { return counts_; }
   // What is decided by, as those hold it that use it: the module, and the core's own bound on attempts. Never
   // changes; from any thread.
-  [[nodiscard]] const Settings& decides_by() const { return controller_.settings(); }
+  [[nodiscard]] const Settings& active_settings() const { return controller_.settings(); }
   [[nodiscard]] std::uint32_t most_attempts() const { return settings_.attempts_cap; }
   // The operators' figures, counted here where each request ends; read from any thread.
   [[nodiscard]] const figures::Figures& figures() const { return figures_; }
@@ -192,16 +198,16 @@
   void carry_out(const Action& action);
   // send
   void send(const SendSetUp& wanted);
-  void abandon(Record& record, Ending ending, bool call_over);
-  void attempt_over(CallId call, std::uint32_t attempt, Ending ending);
+  void abandon(Record& record, AttemptOutcome ending, bool call_ended);
+  void attempt_over(CallId call, std::uint32_t attempt, AttemptOutcome ending);
   // relay
   void relay_answer(ServerId office, CallId call, std::string description);
   void relay_end(const Outcome& outcome);
-  void relay_release(CallId call, const CallerSide& side);
-  void relay_give_up(CallId call, const CallerSide& side);
+  void relay_release(CallId call, const CallerFrontend& side);
+  void relay_give_up(CallId call, const CallerFrontend& side);
   // book
   Record* find(CallId call);
-  void tell_ended(const Record& record, const Attempt& attempt, Ending ending, bool call_over,
+  void tell_ended(const Record& record, const Attempt& attempt, AttemptOutcome ending, bool call_ended,
                   const Outcome* told = nullptr);
   void finish(Record& record, Phase phase, Why why, Duration later);
   void close(Record& record);
@@ -211,13 +217,13 @@
   void list(bool complete, const std::vector<OfficeEntry>& offices);
   void standing(ServerId office, int change);
   void count_offices();
-  void watched(ServerId office, Watcher::Saw what) const;
+  void watched(ServerId office, OfficeObserver::OfficeObservation what) const;
 
   Controller controller_;
   Settings settings_;
-  OfficeSide* offices_ = nullptr;
-  CallerSide* strays_ = nullptr;
-  Watcher* watcher_ = nullptr;
+  OfficeBackend* offices_ = nullptr;
+  CallerFrontend* strays_ = nullptr;
+  OfficeObserver* watcher_ = nullptr;
   Counts counts_;
   figures::Figures figures_;
   std::atomic<bool> ready_{false};
--- a/src/core/office_list.cpp
+++ b/src/core/office_list.cpp
@@ -103,20 +103,20 @@
   core_.told(false, std::move(offices));
 }
 
-bool OfficeList::named_elsewhere(Source source, ServerId office) {
+bool OfficeList::listed_by_other_source(Source source, ServerId office) {
   const std::lock_guard hold(lock_);
   return std::any_of(named_.begin(), named_.end(),
                      [&](const auto& n) { return n.first != source && n.second.contains(office); });
 }
 
-OfficeSide& OfficeSwitch::side(ServerId office) {
+OfficeBackend& OfficeRouter::side(ServerId office) {
   for (const Side& s : sides_) {
     if (s.owns(office)) return *s.side;
   }
   return dialled_;
 }
 
-void OfficeSwitch::listed(bool complete, const std::vector<OfficeEntry>& offices) {
+void OfficeRouter::listed(bool complete, const std::vector<OfficeEntry>& offices) {
   std::vector<OfficeEntry> dialled;
   for (const OfficeEntry& o : offices) {
     if (&side(o.entry.server) == &dialled_) dialled.push_back(o);
--- a/src/core/office_list.h
+++ b/src/core/office_list.h
@@ -19,9 +19,9 @@
 enum class Source { platform, zone, registered, trunk };
 
 // Decides which of the platform's offices are taken as ready, where others know of them too.
-class Governor {
+class ListArbiter {
  public:
-  virtual ~Governor() = default;
+  virtual ~ListArbiter() = default;
   // From the thread that heard it; must not block or call back. What the platform named: `live` once its list
   // is followed, else it is what the configuration held. What a whole list leaves out isn't called gone: the
   // governor says what becomes of it, since others may follow a list that names it.
@@ -42,7 +42,7 @@
       : core_(core), read_clocks_(std::move(read_clocks)), start_times_(read_clocks_()) {}
   // From then on what the platform names as draining or gone still passes at once, what it names as ready
   // only by settled(). Before the first told().
-  void govern(Governor& governor) { governor_ = &governor; }
+  void set_list_arbiter(ListArbiter& governor) { governor_ = &governor; }
   // By the governor: what is to hold of these. One that the platform has named as draining or gone since,
   // under this start or a later one, isn't revived.
   void settled(std::vector<OfficeEntry> offices);
@@ -59,7 +59,7 @@
   // The platform's source has told all that it has, up to this moment.
   void followed();
   void told(Source source, bool complete, std::vector<OfficeEntry> offices);
-  [[nodiscard]] bool named_elsewhere(Source source, ServerId office);
+  [[nodiscard]] bool listed_by_other_source(Source source, ServerId office);
 
  private:
   void follow(bool followed);
@@ -69,7 +69,7 @@
   const ReadClocks read_clocks_;
   std::mutex lock_;  // guards what follows
   clocks::StartTimes start_times_;
-  Governor* governor_ = nullptr;
+  ListArbiter* governor_ = nullptr;
   bool live_ = false;
   std::map<Source, std::map<ServerId, OfficeEntry>> named_;
   std::set<ServerId> unnamed_;             // by the platform's source since it began anew, until it caught up
@@ -77,11 +77,11 @@
 };
 
 // Sends each action to the side that the office belongs to: one that claims it, else the one that dials.
-class OfficeSwitch final : public OfficeSide {
+class OfficeRouter final : public OfficeBackend {
  public:
   using Owns = std::function<bool(ServerId)>;
-  explicit OfficeSwitch(OfficeSide& dialled) : dialled_(dialled) {}
-  void add(OfficeSide& side, Owns owns) {
+  explicit OfficeRouter(OfficeBackend& dialled) : dialled_(dialled) {}
+  void add(OfficeBackend& side, Owns owns) {
     sides_.push_back({&side, std::move(owns)});
   }  // before the core starts
   void listed(bool complete, const std::vector<OfficeEntry>& offices) override;
@@ -90,15 +90,17 @@
     side(office).give_up(office, call, attempt);
   }
   void release(ServerId office, CallId call) override { side(office).release(office, call); }
-  void keep(ServerId office, bool calls_stand) override { side(office).keep(office, calls_stand); }
+  void keep(ServerId office, bool calls_established) override {
+    side(office).keep(office, calls_established);
+  }
 
  private:
   struct Side {
-    OfficeSide* side;
+    OfficeBackend* side;
     Owns owns;
   };
-  OfficeSide& side(ServerId office);
-  OfficeSide& dialled_;
+  OfficeBackend& side(ServerId office);
+  OfficeBackend& dialled_;
   std::vector<Side> sides_;
 };
 
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -7,18 +7,18 @@
 namespace reeltack::core {
 namespace {
 
-Ending ending_of(int cause) {
+AttemptOutcome ending_of(int cause) {
   switch (cause) {
     case 34:
-      return Ending::full;
+      return AttemptOutcome::full;
     case 102:
-      return Ending::not_sent;
+      return AttemptOutcome::not_sent;
     case kTemporaryFailure:
-      return Ending::reset;
+      return AttemptOutcome::reset;
     case kNormalClearing:
-      return Ending::cancelled;
+      return AttemptOutcome::cancelled;
     default:  // 17, 47 and what the protocol does not name
-      return Ending::busy_or_error;
+      return AttemptOutcome::busy_or_error;
   }
 }
 
@@ -41,9 +41,9 @@
   --open_;
   ++counts_.stood;
   figures_.ended(r->request.told.call_class, figures::End::success);
-  watched(office, Watcher::Saw::answered);
+  watched(office, OfficeObserver::OfficeObservation::answered);
   standing(office, +1);
-  events_.emplace_back(CallStands{call, attempt.number, office, now_ - attempt.sent});
+  events_.emplace_back(CallEstablished{call, attempt.number, office, now_ - attempt.sent});
   if (r->request.side->stands(call, r->answer)) return;
   offices_->release(office, call);  // the caller is out of reach, so the call is over
   close(*r);
@@ -62,7 +62,8 @@
   }
   if (r->phase == Phase::stands && r->stands_at == outcome.office) {
     const Attempt attempt{r->attempts - 1, outcome.office, now_};
-    tell_ended(*r, attempt, outcome.cause == kNormalClearing ? Ending::ok : Ending::reset, true, &outcome);
+    tell_ended(*r, attempt, outcome.cause == kNormalClearing ? AttemptOutcome::ok : AttemptOutcome::reset,
+               true, &outcome);
     close(*r);
     r->request.side->released(outcome.call, outcome.cause);
     return;
@@ -70,30 +71,31 @@
   if (r->phase != Phase::open || !r->out || r->out->office != outcome.office) return;
   const Attempt attempt = *r->out;
   r->out.reset();
-  const Ending ending = ending_of(outcome.cause);
-  watched(outcome.office, ending == Ending::full            ? Watcher::Saw::refused
-                          : ending == Ending::busy_or_error ? Watcher::Saw::answered
-                                                            : Watcher::Saw::broke);
+  const AttemptOutcome ending = ending_of(outcome.cause);
+  watched(outcome.office, ending == AttemptOutcome::full ? OfficeObserver::OfficeObservation::refused
+                          : ending == AttemptOutcome::busy_or_error
+                              ? OfficeObserver::OfficeObservation::answered
+                              : OfficeObserver::OfficeObservation::broke);
   tell_ended(*r, attempt, ending, false, &outcome);
 }
 
-void Core::relay_release(CallId call, const CallerSide& side) {
+void Core::relay_release(CallId call, const CallerFrontend& side) {
   Record* r = find(call);
   if (r == nullptr || r->request.side != &side) return;
   if (r->phase == Phase::open) return relay_give_up(call, side);  // it crossed our answer, or came too early
   if (r->phase != Phase::stands) return;
   offices_->release(r->stands_at, call);
-  tell_ended(*r, {r->attempts - 1, r->stands_at, now_}, Ending::cancelled, true);
+  tell_ended(*r, {r->attempts - 1, r->stands_at, now_}, AttemptOutcome::cancelled, true);
   close(*r);
   r->request.side->over(call);
 }
 
-void Core::relay_give_up(CallId call, const CallerSide& side) {
+void Core::relay_give_up(CallId call, const CallerFrontend& side) {
   Record* r = find(call);
   if (r == nullptr || r->phase != Phase::open || r->request.side != &side)
     return;  // answered already: that answer stays the only one
   events_.emplace_back(CallerLeft{call});
-  abandon(*r, Ending::cancelled, true);
+  abandon(*r, AttemptOutcome::cancelled, true);
   finish(*r, Phase::given_up, Why::given_up, {});
 }
 
--- a/src/core/route.cpp
+++ b/src/core/route.cpp
@@ -26,10 +26,10 @@
   } else if (const auto* failure = std::get_if<Fail>(&action)) {
     Record* r = find(failure->call);
     if (r == nullptr || r->phase != Phase::open) return;
-    abandon(*r, Ending::cancelled, true);
-    finish(*r, Phase::failed, Why::tried_in_vain, {});
+    abandon(*r, AttemptOutcome::cancelled, true);
+    finish(*r, Phase::failed, Why::attempts_failed, {});
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-    attempt_over(cancel->call, cancel->attempt, Ending::cancelled);
+    attempt_over(cancel->call, cancel->attempt, AttemptOutcome::cancelled);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     timers_.emplace(timer->at, Due{Due::Kind::module, static_cast<std::uint64_t>(timer->token), 0, {}});
   } else if (const auto* line = std::get_if<LogLine>(&action)) {
--- a/src/core/send.cpp
+++ b/src/core/send.cpp
@@ -20,17 +20,17 @@
   if (!roster_.ready(wanted.server) || r->out || r->attempts >= settings_.attempts_cap) {
     // Guards the rules against a mistake anywhere above: what must not go out is moot, at once.
     ++r->attempts;
-    return tell_ended(*r, attempt, Ending::not_sent, false);
+    return tell_ended(*r, attempt, AttemptOutcome::not_sent, false);
   }
   if (now_ >= r->admitted + kNoticed && !r->request.side->waits(wanted.call)) {
     ++r->attempts;
-    tell_ended(*r, attempt, Ending::not_sent, true);
+    tell_ended(*r, attempt, AttemptOutcome::not_sent, true);
     return finish(*r, Phase::given_up, Why::given_up, {});
   }
   ++r->attempts;
   ++counts_.attempts;
   r->out = attempt;
-  const Time latest = r->request.told.caller_leaves;
+  const Time latest = r->request.told.caller_leaves_at;
   const Time give_up = wanted.give_up == Time{} ? latest : std::min(wanted.give_up, latest);
   if (give_up < latest)  // the deadline has a timer of its own
     timers_.emplace(give_up,
@@ -40,20 +40,21 @@
                    r->request.description});
 }
 
-void Core::abandon(Record& record, Ending ending, bool call_over) {
+void Core::abandon(Record& record, AttemptOutcome ending, bool call_ended) {
   if (!record.out) return;
   const Attempt attempt = *record.out;
   record.out.reset();
   offices_->give_up(attempt.office, record.request.told.call, attempt.number);
-  tell_ended(record, attempt, ending, call_over);
+  tell_ended(record, attempt, ending, call_ended);
 }
 
-void Core::attempt_over(CallId call, std::uint32_t number, Ending ending) {
+void Core::attempt_over(CallId call, std::uint32_t number, AttemptOutcome ending) {
   Record* r = find(call);
   if (r == nullptr || r->phase != Phase::open || !r->out || r->out->number != number) return;
-  if (ending == Ending::timeout) watched(r->out->office, Watcher::Saw::silent);
-  if (ending == Ending::connect_failed) watched(r->out->office, Watcher::Saw::unreachable);
-  if (ending == Ending::reset) watched(r->out->office, Watcher::Saw::broke);
+  if (ending == AttemptOutcome::timeout) watched(r->out->office, OfficeObserver::OfficeObservation::silent);
+  if (ending == AttemptOutcome::connect_failed)
+    watched(r->out->office, OfficeObserver::OfficeObservation::unreachable);
+  if (ending == AttemptOutcome::reset) watched(r->out->office, OfficeObserver::OfficeObservation::broke);
   abandon(*r, ending, false);
 }
 
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -10,7 +10,7 @@
     : controller_(settings, seed), settings_(settings), figures_(settings.classes.size()) {}
 Core::~Core() { stop(); }
 
-void Core::start(OfficeSide& offices, CallerSide* strays) {
+void Core::start(OfficeBackend& offices, CallerFrontend* strays) {
   offices_ = &offices;
   strays_ = strays;
   now_ = base::now();
@@ -41,10 +41,10 @@
   ++open_;  // from here on it is owed an answer, and the program may not end
   post([this, r = std::move(request)]() mutable { admit(std::move(r)); });
 }
-void Core::give_up(CallId call, const CallerSide& side) {
+void Core::give_up(CallId call, const CallerFrontend& side) {
   post([this, call, &side] { relay_give_up(call, side); });
 }
-void Core::release(CallId call, const CallerSide& side) {
+void Core::release(CallId call, const CallerFrontend& side) {
   post([this, call, &side] { relay_release(call, side); });
 }
 void Core::ask(CallId call, std::function<void(const Status&)> answer) {
@@ -71,20 +71,20 @@
     if (roster_.holds(office)) events_.emplace_back(ServerReported{office, true, {}, report});
   });
 }
-void Core::send_failed(CallId call, std::uint32_t attempt, Ending ending) {
+void Core::attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome ending) {
   post([this, call, attempt, ending] { attempt_over(call, attempt, ending); });
 }
-void Core::attempt_left() { figures_.attempted(); }
+void Core::attempt_transmitted() { figures_.attempted(); }
 void Core::reached(ServerId office, bool up) {
   post([this, office, up] {
-    if (!up) watched(office, Watcher::Saw::unreachable);
+    if (!up) watched(office, OfficeObserver::OfficeObservation::unreachable);
     if (roster_.reached(office, up)) count_offices();
   });
 }
-void Core::terms(TermsTold terms) {
+void Core::terms(AdmissionLimitsReceived terms) {
   post([this, t = std::move(terms)]() mutable { events_.emplace_back(std::move(t)); });
 }
-void Core::office_died(ServerId office) {
+void Core::office_lost(ServerId office) {
   post([this, office] { cut_calls_at(office); });
 }
 void Core::told(bool complete, std::vector<OfficeEntry> offices) {
@@ -102,9 +102,9 @@
     for (const CallId call : open) {
       Record& record = calls_.at(call);
       events_.emplace_back(CallerLeft{call});
-      abandon(record, Ending::cancelled, true);
+      abandon(record, AttemptOutcome::cancelled, true);
       if (record.attempts > 0) {  // it may have had an effect
-        finish(record, Phase::failed, Why::tried_in_vain, {});
+        finish(record, Phase::failed, Why::attempts_failed, {});
       } else {
         finish(record, Phase::refused, Why::refused, {});
       }
@@ -150,13 +150,13 @@
         events_.emplace_back(TimerFired{TimerToken{due.id}});
         break;
       case Due::Kind::attempt:
-        attempt_over(call, due.attempt, Ending::timeout);
+        attempt_over(call, due.attempt, AttemptOutcome::timeout);
         break;
       case Due::Kind::deadline:
         if (Record* r = find(call); r != nullptr && r->phase == Phase::open) {
           r->deadline.reset();  // it has just been taken off
           events_.emplace_back(CallerLeft{call});
-          abandon(*r, Ending::timeout, true);
+          abandon(*r, AttemptOutcome::timeout, true);
           finish(*r, Phase::failed, Why::deadline_passed, {});
         }
         break;
--- a/src/fleet/drift/drift.cpp
+++ b/src/fleet/drift/drift.cpp
@@ -42,7 +42,7 @@
     actions.emplace_back(Note{"rules epoch=" + std::to_string(by().epoch) + " reason=\"as kept\""});
 }
 
-void Drift::take(Time /*now*/, const ReadBack& read, Actions& /*actions*/) { tree_ = read.tree; }
+void Drift::take(Time /*now*/, const RulesReadBack& read, Actions& /*actions*/) { tree_ = read.tree; }
 
 void Drift::take(Time /*now*/, const Offered& offered, Actions& actions) {
   const Name name = name_of(offered.version);
@@ -50,7 +50,7 @@
   rules::Tree as_tree;
   for (const auto& [key, value] : offered.version.rules)
     if (!as_tree.put(key, value)) why = key + ": is no rule";
-  const auto broken = rules::broken_bounds(as_tree);
+  const auto broken = rules::violated_bounds(as_tree);
   if (!broken.empty()) why = broken.front();
   if (why.empty() && name.epoch < by().epoch)
     why = "epoch " + std::to_string(by().epoch) + " is approved already";
@@ -67,7 +67,7 @@
                             " offered=yes rules=" + std::to_string(offered.version.rules.size())});
 }
 
-void Drift::take(Time /*now*/, const VoteKept& kept, Actions& /*actions*/) { approval_.kept(kept.vote); }
+void Drift::take(Time /*now*/, const VotePersisted& kept, Actions& /*actions*/) { approval_.kept(kept.vote); }
 
 void Drift::take(Time now, const Members& members, Actions& /*actions*/) {
   agreed_ = std::max<std::size_t>(members.agreed, 1);
@@ -116,7 +116,7 @@
   if (!approval_.approved()) return 0;
   const auto found = wanted_.find({name, zone});
   return found != wanted_.end() ? found->second
-                                : rules::digest_of(wanted_of(*approval_.approved(), name, zone));
+                                : rules::digest_of(required_rules(*approval_.approved(), name, zone));
 }
 
 // After each event: votes, then what follows from them, then what is said, then what is seen.
@@ -155,7 +155,7 @@
   if (!tree_) return;
   Word word{by(), 0, tree_->whole(), false, {}};
   if (approval_.approved()) {
-    const rules::Rules wanted = wanted_of(*approval_.approved(), settings_.name, settings_.zone);
+    const rules::Rules wanted = required_rules(*approval_.approved(), settings_.name, settings_.zone);
     word.governed = rules::digest_of(wanted, *tree_);
     word.named = rules::differences(*tree_, wanted);
     word.pending = !word.named.empty() && !held_since_start_;
--- a/src/fleet/drift/drift.h
+++ b/src/fleet/drift/drift.h
@@ -4,11 +4,11 @@
 // members. Says: what is to be published, kept and logged. Votes and approval: approval.h; the views of each
 // member and their alarms: views.h; facts: words.h.
 //
-// A vote is published once VoteKept says that it lasts; where there is no store it never is, and that member
-// counts for no majority. A version is refused whole if a bound of the platform's pages is broken by it.
-// Content is published by who offered it and by kCarriers of the live members, by rendezvous hash, so that
-// the one who offered it may die. An alarm is logged by kWatchers of them, by the same hash over the subject,
-// and by the subject itself.
+// A vote is published once VotePersisted says that it lasts; where there is no store it never is, and that
+// member counts for no majority. A version is refused whole if a bound of the platform's pages is broken by
+// it. Content is published by who offered it and by kCarriers of the live members, by rendezvous hash, so
+// that the one who offered it may die. An alarm is logged by kWatchers of them, by the same hash over the
+// subject, and by the subject itself.
 //
 // Owns: the approval, what each member has said, the own word.
 // Must never: do I/O, read a clock, change a rule, or believe what a member says of its being in step.
@@ -43,13 +43,13 @@
 struct Restored {  // records of the store, as they were; once, before all else
   std::optional<std::string> vote, held, approved;
 };
-struct ReadBack {  // what the process decides by, whole each time
+struct RulesReadBack {  // what the process decides by, whole each time
   rules::Tree tree;
 };
 struct Offered {  // from an operator's file
   Version version;
 };
-struct VoteKept {
+struct VotePersisted {
   Vote vote;
 };
 struct Person {  // of the members' table
@@ -65,7 +65,7 @@
 struct Told {  // a fact of another: vote, rules or version
   facts::Fact fact;
 };
-using Event = std::variant<Restored, ReadBack, Offered, VoteKept, Members, Told>;
+using Event = std::variant<Restored, RulesReadBack, Offered, VotePersisted, Members, Told>;
 
 // ---- actions
 struct Publish {
@@ -75,7 +75,7 @@
 };
 struct Keep {  // in the store
   std::string key, value;
-  std::optional<Vote> vote;  // to be told by VoteKept once it lasts
+  std::optional<Vote> vote;  // to be told by VotePersisted once it lasts
 };
 struct Note {
   std::string text;  // for the log, as key=value words
@@ -110,9 +110,9 @@
 
  private:
   void take(Time now, const Restored& restored, Actions& actions);
-  void take(Time now, const ReadBack& read, Actions& actions);
+  void take(Time now, const RulesReadBack& read, Actions& actions);
   void take(Time now, const Offered& offered, Actions& actions);
-  void take(Time now, const VoteKept& kept, Actions& actions);
+  void take(Time now, const VotePersisted& kept, Actions& actions);
   void take(Time now, const Members& members, Actions& actions);
   void take(Time now, const Told& told, Actions& actions);
   void settle(Time now, Actions& actions);
--- a/src/fleet/drift/looking.cpp
+++ b/src/fleet/drift/looking.cpp
@@ -67,7 +67,7 @@
       if (const auto& approved = approval_.approved()) {
         const auto person = people_.find(subject);
         const rules::Rules asked =
-            wanted_of(*approved, name, subject == self_ ? settings_.zone : person->second.zone);
+            required_rules(*approved, name, subject == self_ ? settings_.zone : person->second.zone);
         if (const auto found = asked.find(d.key); found != asked.end()) should = found->second;
       }
       text += " " + d.key + "=\"" + d.is.value_or("nothing") + "\" wanted=\"" + should + "\"";
--- a/src/fleet/drift/version.cpp
+++ b/src/fleet/drift/version.cpp
@@ -39,7 +39,7 @@
 }
 
 std::optional<Version> read_version(std::string_view text) {
-  if (text.size() > kMostVersionText || !text.starts_with("1 ") || !text.ends_with("\n")) return std::nullopt;
+  if (text.size() > kMaxVersionBytes || !text.starts_with("1 ") || !text.ends_with("\n")) return std::nullopt;
   Version out;
   const std::string whole(text);
   std::size_t end = text.find('\n');
@@ -67,10 +67,10 @@
   return {version.epoch, digest == 0 ? 1 : digest};
 }
 
-rules::Rules wanted_of(const Version& version, std::string_view name, std::string_view zone) {
+rules::Rules required_rules(const Version& version, std::string_view name, std::string_view zone) {
   rules::Rules out = version.rules;
   const auto over = [&out](const std::map<std::string, rules::Rules>& of, std::string_view whose) {
-    const auto found = of.find(rules::spelt_name(whose));
+    const auto found = of.find(rules::escape_name(whose));
     if (found == of.end()) return;
     for (const auto& [key, value] : found->second) out.insert_or_assign(key, value);
   };
--- a/src/fleet/drift/version.h
+++ b/src/fleet/drift/version.h
@@ -21,7 +21,7 @@
 
 namespace reeltack::fleet::drift {
 
-inline constexpr std::size_t kMostVersionText = std::size_t{40} * 1024;  // bytes
+inline constexpr std::size_t kMaxVersionBytes = std::size_t{40} * 1024;  // bytes
 
 using Epoch = std::uint64_t;  // from 1; 0: none
 struct Name {                 // of one content of one epoch
@@ -33,7 +33,7 @@
 struct Version {
   Epoch epoch = 0;
   rules::Rules rules;
-  std::map<std::string, rules::Rules> zones, names;  // as spelt by rules::spelt_name()
+  std::map<std::string, rules::Rules> zones, names;  // as spelt by rules::escape_name()
   bool operator==(const Version&) const = default;
 };
 
@@ -41,6 +41,6 @@
 std::optional<Version> read_version(std::string_view text);
 Name name_of(const Version& version);
 // What it asks of the controller of this name and zone.
-rules::Rules wanted_of(const Version& version, std::string_view name, std::string_view zone);
+rules::Rules required_rules(const Version& version, std::string_view name, std::string_view zone);
 
 }  // namespace reeltack::fleet::drift
--- a/src/fleet/drift/words.h
+++ b/src/fleet/drift/words.h
@@ -21,7 +21,7 @@
 
 inline constexpr std::size_t kMostNamed = 8;     // keys that differ, in a word
 inline constexpr std::size_t kPartBytes = 3500;  // of a version's text, in one fact
-inline constexpr std::size_t kMostParts = (kMostVersionText + kPartBytes - 1) / kPartBytes;
+inline constexpr std::size_t kMostParts = (kMaxVersionBytes + kPartBytes - 1) / kPartBytes;
 
 struct Vote {
   Name vote, approved;
--- a/src/fleet/facts/exchange.cpp
+++ b/src/fleet/facts/exchange.cpp
@@ -148,7 +148,7 @@
   for (auto at = turn; at != state.owners.end(); ++at) look(at->first, at->second);
   for (auto at = state.owners.begin(); at != turn; ++at) look(at->first, at->second);
 
-  const std::size_t most = state.settings.most_delta;
+  const std::size_t most = state.settings.max_delta_bytes;
   Filling filling(now, most);
   if (own) filling.add(*own, own->plan.whole || lacks.empty() ? most : most - most / 4, true, false);
   filling.by_weight(lacks);
--- a/src/fleet/facts/facts.cpp
+++ b/src/fleet/facts/facts.cpp
@@ -78,7 +78,7 @@
     another = unknown || (own().held(fact.version) && !own().same(fact));
     ++(unknown || another ? counts.not_owners : counts.old);
   }
-  if (another) taken.own_seen = std::max(taken.own_seen, part.incarnation);
+  if (another) taken.conflicting_incarnation = std::max(taken.conflicting_incarnation, part.incarnation);
 }
 
 Facts::State::Line* Facts::State::line(Time now, MemberId owner, Incarnation incarnation) {
--- a/src/fleet/facts/facts.h
+++ b/src/fleet/facts/facts.h
@@ -10,7 +10,7 @@
 //   A to B  delta(B's digest) and wanted(B's digest)
 //   B to A  delta(A's wanted)
 // A digest is an open offer: a message that is lost, late or doubled does no harm, and the next exchange
-// mends it. Where a change comes in parts (`more`), an exchange brings most_delta bytes.
+// mends it. Where a change comes in parts (`more`), an exchange brings max_delta_bytes bytes.
 //
 // Cost of one exchange a member a second, both ways, as encoded (tests/fleet/facts_size_test.cpp): 263 bytes
 // a second quiet, whatever the fleet's size; at 300 members 1.1 KB with a change a member a minute, 1.8 KB
@@ -27,7 +27,7 @@
 // somebody who did not.)
 //
 // A restart: a higher incarnation comes as a whole, and all older facts go at once. A raise() is the same on
-// the wire; where the own facts exceed most_delta, the rest is missing for an exchange.
+// the wire; where the own facts exceed max_delta_bytes, the rest is missing for an exchange.
 //
 // A silent owner (no news and no word of its own for silent_owner) or a forgotten one is hidden: not shown,
 // not passed on, and let go after silent_owner more. So an owner renews its facts within silent_owner.
@@ -72,7 +72,7 @@
   rules = 7,
   version = 8
 };
-inline constexpr Kind kMostKind{64};  // that may travel
+inline constexpr Kind kMaxKind{64};  // that may travel
 struct Key {
   Kind kind{};
   std::uint64_t subject = 0;
@@ -130,8 +130,9 @@
   // Of all owners together; beyond it what is taken of an owner is held to strained_bytes_an_owner.
   std::size_t most_bytes = std::size_t{4} * 1024 * 1024;
   std::size_t strained_bytes_an_owner = std::size_t{4} * 1024;
-  std::size_t most_value = 4096;                    // bytes
-  std::size_t most_delta = std::size_t{12} * 1024;  // bytes a delta; the rest goes with the next exchange
+  std::size_t most_value = 4096;  // bytes
+  std::size_t max_delta_bytes =
+      std::size_t{12} * 1024;  // bytes a delta; the rest goes with the next exchange
   Duration tombstone = std::chrono::minutes(10);
   Duration silent_owner = std::chrono::hours(1);  // facts of an owner never heard of again are dropped
 };
@@ -162,16 +163,17 @@
   [[nodiscard]] Digest digest() const;  // of all buckets
   // The own lines of those owners of whom the other knows more.
   [[nodiscard]] Digest wanted(const Digest& of_other) const;
-  // What the other lacks, up to most_delta bytes as encoded (one fact more where a single one exceeds it).
-  // Own facts first, up to three quarters where more is to be sent; then, in half of what is left, owners
-  // with lists and offices, the newest first; then the rest in turn, beginning where the last delta ended.
+  // What the other lacks, up to max_delta_bytes bytes as encoded (one fact more where a single one exceeds
+  // it). Own facts first, up to three quarters where more is to be sent; then, in half of what is left,
+  // owners with lists and offices, the newest first; then the rest in turn, beginning where the last delta
+  // ended.
   [[nodiscard]] Delta delta(Time now, const Digest& of_other);
   // Takes what is newer. Every fact that has changed is told, in its order; one that went is told as deleted.
   // `from` sent it: what it says of itself is believed, what it says of others is taken as relayed; a fact of
   // the own process that is not known here (a copied disk) is not taken and raises a flag.
   struct Taken {
     std::vector<Fact> changed;
-    Incarnation own_seen =
+    Incarnation conflicting_incarnation =
         0;  // a higher own incarnation, or own versions never written: another has our name
   };
   Taken take(Time now, MemberId from, const Delta& delta);
--- a/src/fleet/link/checks.cpp
+++ b/src/fleet/link/checks.cpp
@@ -12,7 +12,7 @@
 
 void check_fact(const facts::Fact& fact, const std::string& field) {
   // What a newer program writes is held and passed on, though not read here.
-  if (fact.key.kind < facts::Kind::stage || fact.key.kind > facts::kMostKind)
+  if (fact.key.kind < facts::Kind::stage || fact.key.kind > facts::kMaxKind)
     wrong(field + ".kind", "unknown: " + std::to_string(static_cast<unsigned>(fact.key.kind)));
   if (fact.version == 0) wrong(field + ".version", "0");
   if (fact.value.size() > kMostValue) wrong(field + ".value", std::to_string(fact.value.size()) + " bytes");
@@ -34,14 +34,14 @@
   if (message.kind > members::Kind::table)
     wrong("kind", "unknown: " + std::to_string(static_cast<unsigned>(message.kind)));
   at_most(message.updates.size(),
-          message.kind == members::Kind::table ? kMostTableUpdates : members::kMostUpdates, "updates");
+          message.kind == members::Kind::table ? kMostTableUpdates : members::kMaxUpdates, "updates");
   for (std::size_t i = 0; i < message.updates.size(); ++i) {
     const members::Update& update = message.updates[i];
     const std::string field = "updates[" + std::to_string(i) + "]";
     if (update.health > members::Health::left)
       wrong(field + ".health", "unknown: " + std::to_string(static_cast<unsigned>(update.health)));
     check_text(update.name, members::kMostName, field + ".name");
-    check_text(update.zone, members::kMostZone, field + ".zone");
+    check_text(update.zone, members::kMaxZoneBytes, field + ".zone");
   }
 }
 
--- a/src/fleet/link/codec.h
+++ b/src/fleet/link/codec.h
@@ -23,8 +23,8 @@
 inline constexpr std::size_t kMostDatagram = 1400;                        // sent
 inline constexpr std::size_t kMostDatagramRead = std::size_t{16} * 1024;  // taken
 inline constexpr std::size_t kLength = 4;                                 // before each frame of an exchange
-inline constexpr std::size_t kMostFrame = kMostExchange - kLength;        // behind it
-inline constexpr std::size_t kMostTableUpdates = 64;                      // of a table; else kMostUpdates
+inline constexpr std::size_t kMostFrame = kMaxExchangeBytes - kLength;    // behind it
+inline constexpr std::size_t kMostTableUpdates = 64;                      // of a table; else kMaxUpdates
 inline constexpr std::size_t kMostValue = 4096;                           // bytes of a fact
 inline constexpr std::size_t kMostOwners = 4096;                          // of a digest or delta
 inline constexpr std::size_t kMostFacts = 4096;                           // of a delta, all owners together
--- a/src/fleet/link/connection.cpp
+++ b/src/fleet/link/connection.cpp
@@ -7,7 +7,7 @@
 
 namespace reeltack::fleet::link {
 
-Connection::Connection(Surroundings around, Conversation id, asio::ip::tcp::socket socket, Ended ended)
+Connection::Connection(Surroundings around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended)
     : around_(std::move(around)),
       id_(id),
       socket_(std::move(socket)),
--- a/src/fleet/link/connection.h
+++ b/src/fleet/link/connection.h
@@ -17,8 +17,8 @@
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  using Ended = std::function<void(Conversation)>;
-  Connection(Surroundings around, Conversation id, asio::ip::tcp::socket socket, Ended ended);
+  using Ended = std::function<void(ConnectionId)>;
+  Connection(Surroundings around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended);
   void dial(Endpoint to, MemberId member);
   void accepted();
   void send(std::string frame);  // closes it where its queue is full
@@ -37,7 +37,7 @@
   bool malformed(std::optional<MemberId> who);  // false
 
   Surroundings around_;
-  const Conversation id_;
+  const ConnectionId id_;
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   Ended ended_;
--- a/src/fleet/link/connections.cpp
+++ b/src/fleet/link/connections.cpp
@@ -59,10 +59,10 @@
   }
   count(around_.counters.accepted);
   count(around_.counters.connections);
-  const Conversation id{next_};
+  const ConnectionId id{next_};
   next_ += 2;
   const auto connection = std::make_shared<Connection>(around_, id, std::move(socket),
-                                                       [this](Conversation over) { ended(over); });
+                                                       [this](ConnectionId over) { ended(over); });
   lines_[id] = {connection, from, true};
   connection->accepted();
 }
@@ -83,7 +83,7 @@
   count(around_.counters.dialled);
   count(around_.counters.connections);
   const auto connection = std::make_shared<Connection>(around_, dial.id, std::move(socket),
-                                                       [this](Conversation over) { ended(over); });
+                                                       [this](ConnectionId over) { ended(over); });
   lines_[dial.id] = {connection, 0, false};
   connection->dial(way_to(around_.settings, dial.member, dial.to), dial.member);
 }
@@ -102,7 +102,7 @@
   connection->send(std::move(frame));
 }
 
-void Connections::hang_up(Conversation id) {
+void Connections::hang_up(ConnectionId id) {
   if (const auto connection = find(id)) connection->hang_up();
 }
 
@@ -122,13 +122,13 @@
   for (const auto& [id, line] : lines) line.connection->end(false);
 }
 
-void Connections::ended(Conversation id) {
+void Connections::ended(ConnectionId id) {
   if (lines_.erase(id) == 0) return;
   around_.counters.connections.fetch_sub(1, std::memory_order_relaxed);
   if (lines_.empty() && done_) done_();
 }
 
-std::shared_ptr<Connection> Connections::find(Conversation id) const {
+std::shared_ptr<Connection> Connections::find(ConnectionId id) const {
   const auto line = lines_.find(id);
   return line == lines_.end() ? nullptr : line->second.connection;
 }
--- a/src/fleet/link/connections.h
+++ b/src/fleet/link/connections.h
@@ -17,7 +17,7 @@
   void start();
   void dial(const Dial& dial);
   void send(const SendExchange& send);
-  void hang_up(Conversation id);
+  void hang_up(ConnectionId id);
   // No more are accepted, all are hung up; `done` once none is left, by then at once.
   void leave(std::function<void()> done);
   void close();  // all, at once, untold
@@ -30,13 +30,13 @@
   };
   asio::awaitable<void> run();
   void take(asio::ip::tcp::socket socket);
-  void ended(Conversation id);
-  std::shared_ptr<Connection> find(Conversation id) const;
+  void ended(ConnectionId id);
+  std::shared_ptr<Connection> find(ConnectionId id) const;
 
   Surroundings around_;
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer pause_;
-  std::map<Conversation, Line> lines_;
+  std::map<ConnectionId, Line> lines_;
   std::uint64_t next_ = 1;  // odd: of those accepted
   std::function<void()> done_;
 };
--- a/src/fleet/link/link.cpp
+++ b/src/fleet/link/link.cpp
@@ -53,7 +53,7 @@
     udp_.start();
     connections_.start();
     asio::post(io_, [this] {
-      run([this](Time at, TurnActions& actions) { driver_.begin(at, actions); });
+      run([this](Time at, CoordinatorActions& actions) { driver_.begin(at, actions); });
       spawn(io_, ticks());
     });
     std::string why;
@@ -83,7 +83,7 @@
     });
   }
   void kept(Incarnation to) {
-    asio::post(io_, [this, to] { tell(IncarnationKept{to}); });
+    asio::post(io_, [this, to] { tell(IncarnationPersisted{to}); });
   }
   [[nodiscard]] LinkFigures figures() const {
     const Counters& c = counters_;
@@ -94,7 +94,7 @@
 
  private:
   Surroundings around() {
-    return {io_, settings_, counters_, [this](TurnEvent event) { tell(std::move(event)); },
+    return {io_, settings_, counters_, [this](CoordinatorEvent event) { tell(std::move(event)); },
             [this](Log log) { say(std::move(log)); }};
   }
 
@@ -113,11 +113,11 @@
   template <class Call>
   void run(Call call) {
     busy_ = true;
-    TurnActions actions;
+    CoordinatorActions actions;
     call(now(), actions);
     carry_out(actions);
     while (!pending_.empty()) {
-      const TurnEvent event = std::move(pending_.front());
+      const CoordinatorEvent event = std::move(pending_.front());
       pending_.pop_front();
       actions.clear();
       driver_.on(now(), event, actions);
@@ -130,25 +130,25 @@
     if (driver_.next() < armed_) timer_.cancel();
   }
 
-  void tell(TurnEvent event) {
+  void tell(CoordinatorEvent event) {
     if (leaving_) return;
     if (busy_)
       pending_.push_back(std::move(event));
     else
-      run([this, &event](Time at, TurnActions& actions) { driver_.on(at, event, actions); });
+      run([this, &event](Time at, CoordinatorActions& actions) { driver_.on(at, event, actions); });
   }
 
-  void carry_out(TurnActions& actions) {
-    for (TurnAction& action : actions)
-      std::visit(Each{[this](const SendDatagram& send) { udp_.send(send); },
-                      [this](const SendNews& send) { udp_.send(send); },
+  void carry_out(CoordinatorActions& actions) {
+    for (CoordinatorAction& action : actions)
+      std::visit(Each{[this](const SendMembership& send) { udp_.send(send); },
+                      [this](const SendPush& send) { udp_.send(send); },
                       [this](const Dial& dial) { connections_.dial(dial); },
                       [this](const SendExchange& send) { connections_.send(send); },
-                      [this](const HangUp& hang_up) { connections_.hang_up(hang_up.id); },
+                      [this](const CloseConnection& hang_up) { connections_.hang_up(hang_up.id); },
                       [this](Store& store) {
                         if (out_.to_store) out_.to_store(std::move(store));
                       },
-                      [this](ToCore& told) {
+                      [this](ApplyTerms& told) {
                         if (out_.to_core) out_.to_core(std::move(told.terms));
                       },
                       [this](Log& log) { say(std::move(log)); }},
@@ -160,7 +160,7 @@
   }
 
   void take_from_core() {
-    for (recovery::Event& event : queue_.take()) tell(CoreSaid{std::move(event)});
+    for (recovery::Event& event : queue_.take()) tell(CoreEvent{std::move(event)});
   }
 
   asio::awaitable<void> ticks() {
@@ -174,14 +174,14 @@
       if (now() < driver_.next() || now() < earliest) continue;
       udp_.drain(settings_.datagrams_before_tick);  // see link.h: answers that lie here did come
       if (now() < driver_.next()) continue;
-      run([this](Time at, TurnActions& actions) { driver_.tick(at, actions); });
+      run([this](Time at, CoordinatorActions& actions) { driver_.tick(at, actions); });
       earliest = now() + kBetweenTicks;
       tell_cpu();
     }
   }
 
   void leave() {
-    run([this](Time at, TurnActions& actions) { driver_.leave(at, actions); });
+    run([this](Time at, CoordinatorActions& actions) { driver_.leave(at, actions); });
     leaving_ = true;
     timer_.cancel();
     spawn(io_, end_by(settings_.leave_most));
@@ -216,7 +216,7 @@
   Connections connections_;
   asio::steady_timer timer_;
   CoreQueue queue_;
-  std::deque<TurnEvent> pending_;
+  std::deque<CoordinatorEvent> pending_;
   Time armed_ = Time::min();  // what the timer waits for
   std::atomic<bool> hurried_{false};
   bool busy_ = false, leaving_ = false, started_ = false, stopped_ = false;
--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -36,10 +36,10 @@
   Driver(const Driver&) = delete;
   Driver& operator=(const Driver&) = delete;
   virtual ~Driver() = default;
-  virtual void begin(Time now, TurnActions& actions) = 0;  // the link is up
-  virtual void on(Time now, const TurnEvent& event, TurnActions& actions) = 0;
-  virtual void tick(Time now, TurnActions& actions) = 0;
-  virtual void leave(Time now, TurnActions& actions) = 0;
+  virtual void begin(Time now, CoordinatorActions& actions) = 0;  // the link is up
+  virtual void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) = 0;
+  virtual void tick(Time now, CoordinatorActions& actions) = 0;
+  virtual void leave(Time now, CoordinatorActions& actions) = 0;
   [[nodiscard]] virtual Time next() const = 0;  // when tick() is due; at most once a millisecond
 };
 
--- a/src/fleet/link/task.h
+++ b/src/fleet/link/task.h
@@ -13,7 +13,7 @@
 namespace reeltack::fleet::link {
 
 using Clock = asio::steady_timer::clock_type;
-using Tell = std::function<void(TurnEvent)>;
+using Tell = std::function<void(CoordinatorEvent)>;
 using Say = std::function<void(Log)>;
 
 struct Counters {  // written by the link's thread, read by any
--- a/src/fleet/link/udp.cpp
+++ b/src/fleet/link/udp.cpp
@@ -49,12 +49,12 @@
 void UdpTask::take(std::string_view bytes) {
   count(around_.counters.datagrams_in);
   count(around_.counters.bytes_in, bytes.size());
-  TurnEvent event;
+  CoordinatorEvent event;
   try {
     if (is_news(bytes))
-      event = NewsHeard{decode_news(bytes)};
+      event = PushReceived{decode_news(bytes)};
     else
-      event = Datagram{decode_message(bytes)};
+      event = MembershipReceived{decode_message(bytes)};
   } catch (const CodecError& error) {
     count(around_.counters.malformed);
     event = Malformed{error.from};
@@ -80,8 +80,8 @@
   count(around_.counters.not_sent);  // as if the way had lost it
 }
 
-void UdpTask::send(const SendDatagram& datagram) { carry(datagram); }
-void UdpTask::send(const SendNews& news) { carry(news); }
+void UdpTask::send(const SendMembership& datagram) { carry(datagram); }
+void UdpTask::send(const SendPush& news) { carry(news); }
 
 void UdpTask::close() {
   asio::error_code ignored;
--- a/src/fleet/link/udp.h
+++ b/src/fleet/link/udp.h
@@ -14,8 +14,8 @@
   explicit UdpTask(Surroundings around);
   void open();  // throws std::system_error
   void start();
-  void send(const SendDatagram& datagram);
-  void send(const SendNews& news);
+  void send(const SendMembership& datagram);
+  void send(const SendPush& news);
   // Reads and tells what lies in the socket. False: this host has no memory to read it now.
   bool drain(std::size_t most);
   void close();
--- a/src/fleet/members/members.cpp
+++ b/src/fleet/members/members.cpp
@@ -32,8 +32,8 @@
   State& s = *state_;
   for (const Update& u : kept) {
     if (u.member == s.self.id || u.member == MemberId{} || u.at.port == 0 || u.at.address == 0) continue;
-    if (u.name.size() > kMostName || u.zone.size() > kMostZone) continue;
-    if (s.table.size() + 1 >= kMostMembers || s.table.contains(u.member)) continue;
+    if (u.name.size() > kMostName || u.zone.size() > kMaxZoneBytes) continue;
+    if (s.table.size() + 1 >= kMaxMembers || s.table.contains(u.member)) continue;
     Member& m = s.table[u.member];
     m.told = u;
     m.told.incarnation = 0;
@@ -66,7 +66,7 @@
   (void)now;
 }
 
-void Members::raised_kept(Time now, Incarnation to, Actions& actions) {
+void Members::incarnation_persisted(Time now, Incarnation to, Actions& actions) {
   State& s = *state_;
   s.kept = std::max(s.kept, to);
   if (s.wanted != 0 && s.wanted <= s.kept) s.raise(s.wanted - 1, actions);
@@ -94,7 +94,7 @@
     if (!holds) throw std::logic_error(std::string("members: ") + what);
   };
   held(!s.table.contains(s.self.id), "oneself is in the table");
-  held(s.table.size() < kMostMembers, "the table is over its bound");
+  held(s.table.size() < kMaxMembers, "the table is over its bound");
   held(s.self.incarnation <= s.kept, "an incarnation is used that is not kept");
   held(s.health >= 1 && s.health <= std::max<std::size_t>(1, s.settings.health_most),
        "health is out of bounds");
@@ -106,7 +106,7 @@
   for (const auto& [id, m] : s.table) {
     incarnations += m.told.incarnation;
     held(id == m.told.member && id != MemberId{}, "a member is kept under another's id");
-    held(m.told.name.size() <= kMostName && m.told.zone.size() <= kMostZone, "a name is over its bound");
+    held(m.told.name.size() <= kMostName && m.told.zone.size() <= kMaxZoneBytes, "a name is over its bound");
     if (s.is_live(m)) ++live;
     held(s.is_live(m) == s.order.holds(id), "the order of probing is not those who live");
     if (m.told.health == Health::suspect) ++suspects;
--- a/src/fleet/members/members.h
+++ b/src/fleet/members/members.h
@@ -17,8 +17,8 @@
 // held of them; and one seed at whose address nobody lives is asked with each exchange. So sides that hold
 // each other dead, or have forgotten each other, come together by themselves.
 //
-// Threads: none. Equal settings, seed and events give equal actions. Bounded: kMostMembers in the table,
-// kMostUpdates and kMostBytes a message.
+// Threads: none. Equal settings, seed and events give equal actions. Bounded: kMaxMembers in the table,
+// kMaxUpdates and kMostBytes a message.
 #pragma once
 
 #include <cstddef>
@@ -101,24 +101,24 @@
   Message message;
 };
 // Of its health; that it lives on under another incarnation is not told.
-struct Changed {
+struct HealthChanged {
   MemberId member{};
   std::optional<Health> from;  // none: it was not known
   Health to{};
   Incarnation incarnation = 0;
   const char* reason = "";
 };
-// To be kept in the store: incarnations up to this may be used from raised_kept() on. They are kept in
-// blocks, so that a refutation seldom waits for the store; the next start takes one above what is kept.
-struct Raised {
+// To be kept in the store: incarnations up to this may be used from incarnation_persisted() on. They are kept
+// in blocks, so that a refutation seldom waits for the store; the next start takes one above what is kept.
+struct PersistIncarnation {
   Incarnation to = 0;
 };
 // Another process speaks under the own name; told once a minute at most.
-struct Namesake {
+struct DuplicateName {
   Incarnation incarnation = 0;
   Endpoint at{};  // where it is, if it said so
 };
-using Action = std::variant<Send, Changed, Raised, Namesake>;
+using Action = std::variant<Send, HealthChanged, PersistIncarnation, DuplicateName>;
 using Actions = std::vector<Action>;
 
 // Why a message was not taken; counted each.
@@ -144,8 +144,8 @@
   void remember(std::span<const Update> kept);
   void heard(Time now, const Message& message, Actions& actions);
   void tick(Time now, Actions& actions);  // at next() or later
-  // The store holds what a Raised has asked for. Until then the own incarnation stays below it.
-  void raised_kept(Time now, Incarnation to, Actions& actions);
+  // The store holds what a PersistIncarnation has asked for. Until then the own incarnation stays below it.
+  void incarnation_persisted(Time now, Incarnation to, Actions& actions);
   void configured(std::uint64_t epoch);    // the own epoch, told with every message from now on
   void leave(Time now, Actions& actions);  // in order: told to some, then nothing more is sent
   [[nodiscard]] Time next() const;         // when tick() is due
@@ -164,13 +164,13 @@
   std::unique_ptr<State> state_;
 };
 
-inline constexpr std::size_t kMostMembers = 4096;
+inline constexpr std::size_t kMaxMembers = 4096;
 inline constexpr std::size_t kMostBytes = 1200;  // a message, as encoded_size() has it
-inline constexpr Incarnation kMostIncarnation = Incarnation{1} << 62U;
-inline constexpr std::size_t kMostUpdates = 16;  // a message (table: 64)
+inline constexpr Incarnation kMaxIncarnation = Incarnation{1} << 62U;
+inline constexpr std::size_t kMaxUpdates = 16;  // a message (table: 64)
 inline constexpr std::size_t kMostName = 64;
 inline constexpr std::size_t kMostTable = 64;
-inline constexpr std::size_t kMostZone = 32;
+inline constexpr std::size_t kMaxZoneBytes = 32;
 
 // An upper bound of what the codec makes of it, in bytes; messages are filled up to kMostBytes by it.
 [[nodiscard]] std::size_t encoded_size(const Update& update);
--- a/src/fleet/members/messages.cpp
+++ b/src/fleet/members/messages.cpp
@@ -133,7 +133,7 @@
 void Members::State::fill(Message& message) {
   std::size_t size = encoded_size(message);
   spread.each(times(), [&](MemberId member) -> std::optional<bool> {
-    if (message.updates.size() >= kMostUpdates) return std::nullopt;
+    if (message.updates.size() >= kMaxUpdates) return std::nullopt;
     const bool there = std::any_of(message.updates.begin(), message.updates.end(),
                                    [&](const Update& u) { return u.member == member; });
     if (there) return true;
@@ -194,7 +194,7 @@
 void Members::State::namesake(Time now, Incarnation incarnation, const Endpoint& at, Actions& actions) {
   if (namesake_told && now < *namesake_told + kNamesakeAgain) return;
   namesake_told = now;
-  actions.emplace_back(Namesake{incarnation, at});
+  actions.emplace_back(DuplicateName{incarnation, at});
 }
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/table.cpp
+++ b/src/fleet/members/table.cpp
@@ -62,7 +62,7 @@
 
 void Members::State::stranger(Time now, const Update& update, Way way, Actions& actions) {
   if (update.health >= Health::dead) return;
-  if (table.size() + 1 >= kMostMembers && !make_room()) {
+  if (table.size() + 1 >= kMaxMembers && !make_room()) {
     ++refused.full;
     return;
   }
@@ -85,7 +85,8 @@
     exchange_at = std::min(exchange_at, now + 2 * settings.period);
     part_lacks = true;
   }
-  actions.emplace_back(Changed{update.member, std::nullopt, update.health, update.incarnation, reason(way)});
+  actions.emplace_back(
+      HealthChanged{update.member, std::nullopt, update.health, update.incarnation, reason(way)});
 }
 
 void Members::State::become(Time now, Member& member, const Update& told, Way way, Actions& actions) {
@@ -109,7 +110,7 @@
   spread.put(id);
   if (before == told.health) return;  // a new incarnation of it, no other health
   member.since = now;
-  actions.emplace_back(Changed{id, before, told.health, told.incarnation, reason(way)});
+  actions.emplace_back(HealthChanged{id, before, told.health, told.incarnation, reason(way)});
 }
 
 void Members::State::suspicion(Time now, const Update& told) {
@@ -161,7 +162,7 @@
 }
 
 void Members::State::raise(Incarnation above, Actions& actions) {
-  if (above + 1 >= kMostIncarnation) return;
+  if (above + 1 >= kMaxIncarnation) return;
   wanted = std::max(wanted, above + 1);
   if (wanted <= kept) {
     self.incarnation = wanted;
@@ -173,7 +174,7 @@
   const Incarnation held = std::max(kept, asked);
   if (used <= held && held - used >= settings.ahead / 2) return;
   asked = used + settings.ahead;
-  actions.emplace_back(Raised{asked});
+  actions.emplace_back(PersistIncarnation{asked});
 }
 
 void Members::State::forget(Time now) {
--- a/src/fleet/news/news.cpp
+++ b/src/fleet/news/news.cpp
@@ -34,7 +34,7 @@
   return true;
 }
 
-News::News(const NewsSettings& settings, MemberId self, std::uint64_t seed)
+News::News(const EagerPushSettings& settings, MemberId self, std::uint64_t seed)
     : settings_(settings), self_(self), draws_(seed ^ 0x6e657773ULL) {}
 
 bool News::is_news(const Value& value) const {
--- a/src/fleet/news/news.h
+++ b/src/fleet/news/news.h
@@ -51,7 +51,7 @@
 [[nodiscard]] std::size_t encoded_size(const facts::Fact& fact);
 [[nodiscard]] std::size_t encoded_size(const Message& message);
 
-struct NewsSettings {
+struct EagerPushSettings {
   std::array<Duration, 3> pushes{Duration{}, std::chrono::milliseconds(60), std::chrono::milliseconds(160)};
   Duration most_age = std::chrono::seconds(5);            // then several exchanges have had their turn
   std::size_t most_offices = 2048;                        // whose lives are known; as recovery
@@ -76,7 +76,7 @@
  public:
   using Live = std::function<bool(MemberId)>;  // whether it is a member that has not left
 
-  News(const NewsSettings& settings, MemberId self, std::uint64_t seed);
+  News(const EagerPushSettings& settings, MemberId self, std::uint64_t seed);
   // An own fact was written, or another's came by an exchange; told on where it is news. False: it is older
   // than one of its owner that was told ahead, says nothing here, and recovery is not to hear it.
   void wrote(Time now, const facts::Fact& fact);
@@ -132,7 +132,7 @@
   [[nodiscard]] std::vector<MemberId> shuffled(std::span<const MemberId> members);
   void pack(Time now, MemberId to, const std::vector<facts::Fact>& facts, std::vector<Push>& out);
 
-  NewsSettings settings_;
+  EagerPushSettings settings_;
   MemberId self_;
   members::Draws draws_;
   std::map<ServerId, Known> known_;
--- a/src/fleet/pace/pace.cpp
+++ b/src/fleet/pace/pace.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Pace::Pace(const PaceSettings& settings, std::uint64_t seed)
+Pace::Pace(const GossipScheduleSettings& settings, std::uint64_t seed)
     : settings_(settings), draws_(seed ^ 0x70616365ULL), bytes_(static_cast<double>(settings.burst)) {}
 
 void Pace::begin(Time now) { begun_ = last_ = filled_ = now, part_ = 0.0; }
--- a/src/fleet/pace/pace.h
+++ b/src/fleet/pace/pace.h
@@ -39,7 +39,7 @@
 
 namespace reeltack::fleet::pace {
 
-struct PaceSettings {
+struct GossipScheduleSettings {
   Duration every = std::chrono::seconds(1);
   Duration idlest = std::chrono::seconds(2);
   Duration urgent = std::chrono::milliseconds(200);
@@ -66,7 +66,7 @@
 
 class Pace {
  public:
-  Pace(const PaceSettings& settings, std::uint64_t seed);
+  Pace(const GossipScheduleSettings& settings, std::uint64_t seed);
   void begin(Time now);                          // of a life: the first exchange is due
   void partners(std::span<const Partner> live);  // whole and by id, after each change
   void changed(Time now);                        // something of weight is to be told on
@@ -94,7 +94,7 @@
   [[nodiscard]] double full(Time now) const;        // bytes in the bucket, negative: owed
   [[nodiscard]] std::optional<MemberId> whom() const;
 
-  PaceSettings settings_;
+  GossipScheduleSettings settings_;
   members::Draws draws_;
   std::map<MemberId, Known> partners_;
   Time begun_ = Time::max();
--- a/src/fleet/recovery/census.cpp
+++ b/src/fleet/recovery/census.cpp
@@ -42,8 +42,8 @@
   standing.returning = peer.stage->stage != Stage::full || peer.stage->recovering;
   const auto present = incarnations_.find(member);
   if (present != incarnations_.end() && peer.incarnation < present->second) return standing;
-  standing.counts =
-      live_.size() > kHeardSize ? now - peer.stage_at <= lately(live_.size()) : peer.stage_at >= asked_ - 1s;
+  standing.counts = live_.size() > kMaxSmallFleet ? now - peer.stage_at <= lately(live_.size())
+                                                  : peer.stage_at >= asked_ - 1s;
   standing.full = standing.counts && full_long(now, peer);
   standing.served = peer.stage->served;
   return standing;
@@ -55,7 +55,7 @@
   const auto offer = [&](Time at) {
     if (at > now) until = std::min(until, at);
   };
-  if (live_.size() > kHeardSize) offer(peer.stage_at + lately(live_.size()) + 1ns);
+  if (live_.size() > kMaxSmallFleet) offer(peer.stage_at + lately(live_.size()) + 1ns);
   if (peer.stage->stage == Stage::full)
     offer(peer.stage_at + settings_.loss_window - peer.stage->full_for + 1ns);
   return until;
@@ -64,7 +64,7 @@
 Recovery::Reckoned Recovery::reckon(Time now) const {
   Reckoned reckoned{.by = {stage_renewal(), asked_, leases_.agreed(), live_.size()}};
   Census& census = reckoned.census;
-  census.size = std::max(leases_.agreed(), settings_.leases.least_size);
+  census.size = std::max(leases_.agreed(), settings_.leases.min_size);
   for (const auto& [member, peer] : peers_) {
     const Standing is = standing(now, member, peer);
     reckoned.largest = std::max(reckoned.largest, is.agreed);
@@ -122,13 +122,13 @@
     for (const auto& [office, rate] : peer.rates) {
       while (at != all.end() && at->first < office) ++at;
       if (at == all.end() || at->first != office) {
-        if (all.size() >= kMostValueOffices) continue;
+        if (all.size() >= kMaxValueOffices) continue;
         at = all.emplace_hint(at, office, 0.0);
       }
       at->second += rate;
     }
   }
-  for (const Judged& judged : judged_) {
+  for (const OfficeAssessment& judged : judged_) {
     const auto rate = all.find(judged.office.id);
     if (rate == all.end() || judged.cold) continue;
     Peak& peak = peaks_[judged.office.id];
--- a/src/fleet/recovery/check.cpp
+++ b/src/fleet/recovery/check.cpp
@@ -27,11 +27,11 @@
   // Told each time by next(), a stage has ended a moment after its longest stay.
   if (longest() != Duration::max() && last_ == now)
     hold(now - stage_since_ < longest(), "a stage beyond its longest stay");
-  hold(!(recovering_ && silent_as_today()), "a recovery without a fleet or a store");
+  hold(!(recovering_ && without_fleet_and_store()), "a recovery without a fleet or a store");
   check_kept(now);
   if (terms_)
     for (const Terms::Line& line : terms_->offices) {
-      const Judged judged = offices_.judge(last_, line.office.id);
+      const OfficeAssessment judged = offices_.judge(last_, line.office.id);
       const bool over = judged.rank == Rank::told && judged.verdict == Verdict::barred;
       hold(!over || line.verdict == Verdict::barred, "what a list bars may be used");
       hold(!line.ours || line.verdict == Verdict::trial, "tried by us, yet not on trial");
@@ -46,11 +46,11 @@
   hold(held.largest == anew.largest && held.returning == anew.returning, "kept of members who say otherwise");
   Trials trials = trials_;
   trials.members_changed();
-  for (const Judged& judged : judged_)
+  for (const OfficeAssessment& judged : judged_)
     if (judged.verdict == Verdict::trial)
       hold(trials.whose(now, judged, live_) == trials_.whose(now, judged, live_), "another's turn to try");
   if (!linked_ || stage_ == Stage::dark || last_ != now || now >= publish_at_) return;
-  for (const Judged& judged : judged_) {
+  for (const OfficeAssessment& judged : judged_) {
     const std::optional<OfficeValue> value = value_of(now, judged);
     const auto speaker = speaks_.find(judged.office.id);
     if (!value || speaker == speaks_.end()) continue;
--- a/src/fleet/recovery/epochs.cpp
+++ b/src/fleet/recovery/epochs.cpp
@@ -36,7 +36,7 @@
 bool ListEpochs::take(const ListId& own, const ListId& peer) {
   if (own.epoch != epoch_ || own.number != number_ || number_ == 0) return false;  // not followed here
   if (peer.number != own.number || peer.digest != own.digest) return false;
-  if (peer.epoch <= epoch_ || peer.epoch - epoch_ > kFarthest) return false;
+  if (peer.epoch <= epoch_ || peer.epoch - epoch_ > kMaxEpochLead) return false;
   epoch_ = peer.epoch;
   kept_.reset();
   return true;
--- a/src/fleet/recovery/epochs.h
+++ b/src/fleet/recovery/epochs.h
@@ -11,7 +11,7 @@
 // Not seen: a bulletin that has told more events since its start than were known of its last life.
 //
 // Owns: epoch and number of the own source's list. Must never: take an epoch on a mere claim, or further than
-// kFarthest above the own one. Threads: none. Equal inputs give equal outputs; copyable.
+// kMaxEpochLead above the own one. Threads: none. Equal inputs give equal outputs; copyable.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 class ListEpochs {
  public:
-  static constexpr std::uint64_t kFarthest = 1024;
+  static constexpr std::uint64_t kMaxEpochLead = 1024;
   void restore(std::uint64_t epoch, std::uint64_t number);  // as kept; before the first told()
   // The own source's list has this number; `restarts` of it were seen since the process began. Its epoch.
   std::uint64_t told(std::uint64_t number, std::uint64_t restarts);
--- a/src/fleet/recovery/keeping.cpp
+++ b/src/fleet/recovery/keeping.cpp
@@ -28,7 +28,7 @@
 
 std::vector<Evidence> Recovery::kept_offices() const {
   std::vector<Evidence> offices;
-  for (const Judged& j : judged_) {
+  for (const OfficeAssessment& j : judged_) {
     Evidence e{j.office, Rank::kept, j.seen, self_, j.age};
     if (j.rank == Rank::told && bulletin_ && j.verdict == Verdict::trusted) e.age = Duration{};
     if (j.seen == Seen::absent) continue;
@@ -51,7 +51,7 @@
   keep_one(now, kStageRecord, stage + (joining ? 4 << 24 : 0), 5s, stage_text, actions);
   if (bulletin_) {
     Hash lives;
-    for (const Judged& j : judged_) {
+    for (const OfficeAssessment& j : judged_) {
       if (j.rank != Rank::told) continue;
       lives.add(static_cast<std::uint64_t>(j.office.id)).add(j.office.start);
       lives.add(std::uint64_t{j.verdict == Verdict::barred});
@@ -62,7 +62,7 @@
   const auto list = written_.find(kListRecord);
   if (list == written_.end() || now - list->second.at >= kChanged) {
     Hash hash;
-    for (const Judged& j : judged_) {
+    for (const OfficeAssessment& j : judged_) {
       if (j.seen == Seen::absent) continue;
       hash.add(static_cast<std::uint64_t>(j.office.id)).add(j.office.start);
       hash.add(std::uint64_t{j.office.at.address} << 16U | j.office.at.port)
@@ -71,7 +71,7 @@
     const int seen = static_cast<int>(hash.value() & 0x7fffffffU);
     const ListId id{epochs_.epoch(), epochs_.number(), list_.digest};
     keep_one(
-        now, kListRecord, seen, 15s, [&] { return write_kept_list(id, kept_offices()); }, actions);
+        now, kListRecord, seen, 15s, [&] { return write_stored_list(id, kept_offices()); }, actions);
   }
   const auto rates_text = [&] {
     Rates rates;
--- a/src/fleet/recovery/leases.cpp
+++ b/src/fleet/recovery/leases.cpp
@@ -10,8 +10,8 @@
 
 namespace reeltack::fleet::recovery {
 
-Leases::Leases(const LeasesSettings& settings)
-    : settings_(settings), largest_(std::max<std::size_t>(settings.least_size, 1)) {}
+Leases::Leases(const LeaseSettings& settings)
+    : settings_(settings), largest_(std::max<std::size_t>(settings.min_size, 1)) {}
 
 void Leases::restore(std::size_t agreed, std::size_t largest) {
   agreed_ = std::max<std::size_t>(agreed, 1);
@@ -21,7 +21,7 @@
 
 void Leases::told(Time now, const Fleet& fleet) {
   const std::size_t size =
-      std::max({fleet.agreed, fleet.largest, fleet.live, settings_.least_size, std::size_t{1}});
+      std::max({fleet.agreed, fleet.largest, fleet.live, settings_.min_size, std::size_t{1}});
   if (newcomer_ && size > 1) {
     joined_until_ = now + 2 * settings_.lease;
     newcomer_ = false;
@@ -47,7 +47,7 @@
   if (start > spent.start) spent = {start, 0.0};
   spent.set_ups += std::max(set_ups, 0.0);
 }
-double Leases::spent_of(ServerId office) const {
+double Leases::set_ups_spent(ServerId office) const {
   const auto at = spent_.find(office);
   return at == spent_.end() ? 0.0 : at->second.set_ups;
 }
@@ -62,7 +62,7 @@
     throw std::logic_error("leases: largest below the agreed size");
   if (lease_.part * static_cast<double>(lease_.size) > 1.0 + 1.0e-9)
     throw std::logic_error("leases: more than an equal part");
-  if (lease_.size < settings_.least_size && lease_.until > Time::min())
+  if (lease_.size < settings_.min_size && lease_.until > Time::min())
     throw std::logic_error("leases: divided by less than the planned size");
 }
 
--- a/src/fleet/recovery/leases.h
+++ b/src/fleet/recovery/leases.h
@@ -21,10 +21,10 @@
 
 namespace reeltack::fleet::recovery {
 
-struct LeasesSettings {
+struct LeaseSettings {
   Duration lease = std::chrono::seconds(5);
   // Of the operator's file: the fleet's planned size, taken until a larger is agreed.
-  std::size_t least_size = 1;
+  std::size_t min_size = 1;
   std::size_t most_offices = 2048;  // whose spending is counted
 };
 // The membership as told: by the members' table and by what live members say they agreed on.
@@ -43,7 +43,7 @@
 
 class Leases {
  public:
-  explicit Leases(const LeasesSettings& settings);
+  explicit Leases(const LeaseSettings& settings);
   // As kept: the size agreed last and the largest known; a lease itself never outlives the process.
   void restore(std::size_t agreed, std::size_t largest);
   void told(Time now, const Fleet& fleet);
@@ -51,7 +51,7 @@
   // Sends to the office under its present start; a start anew forgets them. For the figures and the check.
   void spent(Time now, ServerId office, std::uint64_t start, double set_ups);
   [[nodiscard]] bool joining(Time now) const { return now < joined_until_; }  // a newcomer, within its wait
-  [[nodiscard]] double spent_of(ServerId office) const;
+  [[nodiscard]] double set_ups_spent(ServerId office) const;
   [[nodiscard]] std::size_t agreed() const { return agreed_; }
   [[nodiscard]] std::size_t largest() const { return largest_; }
   [[nodiscard]] Time next(Time now) const;  // when share() changes by itself
@@ -63,7 +63,7 @@
     std::uint64_t start = 0;
     double set_ups = 0.0;
   };
-  LeasesSettings settings_;
+  LeaseSettings settings_;
   std::size_t agreed_ = 1;
   std::size_t largest_ = 1;
   Share lease_;
--- a/src/fleet/recovery/mix.h
+++ b/src/fleet/recovery/mix.h
@@ -18,7 +18,7 @@
 }
 constexpr std::uint64_t mix(std::uint64_t a, std::uint64_t b) { return mix(mix(a) ^ b); }
 // From 0 to below 1.
-constexpr double part_of_one(std::uint64_t hash) { return static_cast<double>(hash >> 11U) * 0x1.0p-53; }
+constexpr double unit_fraction(std::uint64_t hash) { return static_cast<double>(hash >> 11U) * 0x1.0p-53; }
 
 class Hash {  // of a sequence of numbers, in their order
  public:
--- a/src/fleet/recovery/offices.cpp
+++ b/src/fleet/recovery/offices.cpp
@@ -41,10 +41,10 @@
     had.list = std::max(had.list, e.list);
     had.by = std::max(had.by, e.source);
     had.as_of = std::max(had.as_of, of(line.as_of));
-    if (e.office.start == 0 && had.callers.size() < settings_.most_sources) had.callers.insert(e.source);
+    if (e.office.start == 0 && had.callers.size() < settings_.max_sources) had.callers.insert(e.source);
     return changed;
   }
-  if (known.ended.size() >= settings_.most_sources) return false;
+  if (known.ended.size() >= settings_.max_sources) return false;
   known.ended.push_back({e.office, e.seen, e.source, of(line.as_of), e.list, {e.source}});
   std::sort(known.ended.begin(), known.ended.end(),
             [](const Ended& a, const Ended& b) { return a.office.at < b.office.at; });
@@ -58,7 +58,7 @@
   return std::erase_if(known.ended, [&](const Ended& had) {
            if (had.office.at != e.office.at) return false;
            const bool for_all = had.callers.contains(e.source) && newer(e.list, had.list);
-           if (for_all && known.back.size() < settings_.most_sources) known.back[e.office.at] = e.list;
+           if (for_all && known.back.size() < settings_.max_sources) known.back[e.office.at] = e.list;
            return for_all || (had.by == e.source && had.as_of < of(line.as_of));
          }) > 0;
 }
@@ -97,7 +97,7 @@
   if (place == known.lines.end() || key(*place) != key(line)) {
     known.lines.insert(place, line);
     known.changed();
-    return known.lines.size() <= settings_.most_sources || drop_weakest(known) || changed;
+    return known.lines.size() <= settings_.max_sources || drop_weakest(known) || changed;
   }
   const auto order = [](const Line& l) {
     const Evidence& e = l.evidence;
@@ -134,7 +134,7 @@
 }
 
 // What it said ready goes on as a sight of its own, if it has none; what it said absent is void.
-void Offices::forget_told(MemberId source, Rank as) {
+void Offices::forget_list(MemberId source, Rank as) {
   for (auto& [id, known] : known_) {
     const auto of_source = [&](const Line& l, Part part) {
       return l.evidence.source == source && part_of(l.evidence) == part;
@@ -164,11 +164,11 @@
 void Offices::check() const {
   if (known_.size() > settings_.most_offices) throw std::logic_error("offices: over their bound");
   for (const auto& [id, known] : known_) {
-    if (known.lines.size() > settings_.most_sources || known.ended.size() > settings_.most_sources)
+    if (known.lines.size() > settings_.max_sources || known.ended.size() > settings_.max_sources)
       throw std::logic_error("offices: evidence over its bound");
     if (known.decided && *known.decided != decide(known))
       throw std::logic_error("offices: a verdict that the evidence does not give");
-    const Judged judged = judge(Time{}, known);
+    const OfficeAssessment judged = judge(Time{}, known);
     for (const Ended& e : known.ended)
       if (e.office.start == judged.office.start && e.office.at == judged.office.at &&
           judged.verdict != Verdict::barred)
--- a/src/fleet/recovery/offices.h
+++ b/src/fleet/recovery/offices.h
@@ -22,13 +22,13 @@
 //             is not known (0): who called it so can take it back, since no newer start could be told of it;
 //             by a newer list than any that called it so, for all of them.
 //   told      of several lists the highest says ready or absent; at equal lists the worse counts
-//   seen      an answer counts for `silent_doubts` against younger refusals and silences of the same or a
+//   seen      an answer counts for `answer_grace` against younger refusals and silences of the same or a
 //   lower
 //             rank, and against a higher rank's only where it is younger; else the office is on trial
 //   kept      by the curve, and barred where it was kept as draining or gone
 // Of one source the younger sight alone counts, the worse at an equal age.
 //
-// Trust of what was kept: 0.5 to the power of age / half-life of its kind; `trusted` at trusted_from or
+// Trust of what was kept: 0.5 to the power of age / half-life of its kind; `trusted` at trust_threshold or
 // above. Threads: none. Equal inputs give equal outputs.
 #pragma once
 
@@ -72,7 +72,7 @@
 
 // barred: nothing new goes there. trial: one set-up at a time, by the one member whose turn it is. trusted.
 enum class Verdict : std::uint8_t { barred, trial, trusted };
-struct Judged {
+struct OfficeAssessment {
   Office office;
   Verdict verdict{};
   Rank rank{};  // of what decided
@@ -88,11 +88,11 @@
   Duration half_life_state = std::chrono::seconds(120);  // an office seen up, or refused
   Duration half_life_list = std::chrono::hours(12);      // that it exists at this address
   Duration half_life_warm = std::chrono::seconds(60);    // that it is warm
-  double trusted_from = 0.5;
-  Duration ramp{};                                   // of the settings: warm after it
-  Duration silent_doubts = std::chrono::seconds(3);  // an answer older than a younger silence is doubt
+  double trust_threshold = 0.5;
+  Duration ramp{};                                  // of the settings: warm after it
+  Duration answer_grace = std::chrono::seconds(3);  // an answer older than a younger silence is doubt
   std::size_t most_offices = 2048;
-  std::size_t most_sources = 64;  // evidence kept an office; the weakest is dropped
+  std::size_t max_sources = 64;  // evidence kept an office; the weakest is dropped
 };
 
 class Offices {
@@ -103,9 +103,9 @@
   // Its word counts no longer (dead, left, or found faulty); what it called ended stays ended.
   void forget(MemberId source);
   // Its list is no longer live: what that said ready counts as seen by `as`, what it said absent is void.
-  void forget_told(MemberId source, Rank as);
-  [[nodiscard]] Judged judge(Time now, ServerId office) const;
-  [[nodiscard]] std::vector<Judged> all(Time now) const;  // by id
+  void forget_list(MemberId source, Rank as);
+  [[nodiscard]] OfficeAssessment judge(Time now, ServerId office) const;
+  [[nodiscard]] std::vector<OfficeAssessment> all(Time now) const;  // by id
   [[nodiscard]] std::size_t size() const { return known_.size(); }
   [[nodiscard]] Time next(Time now) const;  // when a verdict or a warmth may change by age alone
   void check() const;
@@ -155,8 +155,8 @@
   [[nodiscard]] static Office life(const Known& known);
   [[nodiscard]] Decided decide(const Known& known) const;
   [[nodiscard]] Time next(Time now, const Known& known) const;
-  [[nodiscard]] Judged judge(Time now, const Known& known) const;
-  void warmth(Time now, const Known& known, Time kept, Judged& judged) const;
+  [[nodiscard]] OfficeAssessment judge(Time now, const Known& known) const;
+  void warmth(Time now, const Known& known, Time kept, OfficeAssessment& judged) const;
   bool end(Known& known, const Line& line) const;
   bool take_back(Known& known, const Line& line) const;
   bool drop_weakest(Known& known) const;
--- a/src/fleet/recovery/opening.cpp
+++ b/src/fleet/recovery/opening.cpp
@@ -21,9 +21,9 @@
 
 Opening::Opening(const RecoverySettings& settings, MemberId self)
     : place_(settings.class_worth.size()),
-      least_(std::max<Duration>(settings.opening_least, 1ms)),
+      least_(std::max<Duration>(settings.min_opening_time, 1ms)),
       pressed_(settings.pressed),
-      rank_(part_of_one(mix(static_cast<std::uint64_t>(self)))) {
+      rank_(unit_fraction(mix(static_cast<std::uint64_t>(self)))) {
   std::vector<std::size_t> order(place_.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   const auto aim = [&](std::size_t c) {
@@ -37,7 +37,7 @@
   for (std::size_t i = 0; i < order.size(); ++i) place_[order[i]] = i;
 }
 
-void Opening::said(Time now, const Pressure& pressure, double capacity) {
+void Opening::said(Time now, const OfficeLoad& pressure, double capacity) {
   if (!said_.contains(pressure.office) && said_.size() >= kMostSaid) return;
   said_[pressure.office] = {pressure, std::max(capacity, 1.0e-9), now};
 }
--- a/src/fleet/recovery/opening.h
+++ b/src/fleet/recovery/opening.h
@@ -21,11 +21,11 @@
 class Opening {
  public:
   Opening(const RecoverySettings& settings, MemberId self);
-  void said(Time now, const Pressure& pressure, double capacity);
+  void said(Time now, const OfficeLoad& pressure, double capacity);
   void restart(Time now);
   // At `room` or above it; by growth no further than `most`; where it is further it stays.
   void advance(Time now, double room, double most);
-  void open_whole() { opening_ = 1.0; }
+  void open_fully() { opening_ = 1.0; }
   [[nodiscard]] double opening() const { return opening_; }
   [[nodiscard]] bool whole() const;  // every class is open
   [[nodiscard]] bool open(std::size_t of_class) const;
@@ -35,7 +35,7 @@
 
  private:
   struct Said {
-    Pressure last;
+    OfficeLoad last;
     double capacity = 1.0;
     Time at{};
   };
--- a/src/fleet/recovery/peers.cpp
+++ b/src/fleet/recovery/peers.cpp
@@ -11,13 +11,13 @@
 bool over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
 }  // namespace
 
-void Recovery::take(Time now, const FactTold& told) {
+void Recovery::take(Time now, const FactReceived& told) {
   const Told& fact = told.fact;
   if (fact.owner == self_ || fact.owner == MemberId{}) {
     ++counts_.strangers;
     return;
   }
-  if (!peers_.contains(fact.owner) && peers_.size() >= kMostSize) {
+  if (!peers_.contains(fact.owner) && peers_.size() >= kMaxFleetSize) {
     ++counts_.over_bound;
     return;
   }
@@ -61,7 +61,7 @@
   // One that is asking hears of all who are full anew, where the fleet is not large.
   const bool asks = value->stage == Stage::asking && (!peer.stage || peer.stage->stage != Stage::asking ||
                                                       fact.incarnation > peer.incarnation);
-  speak_ = speak_ || (asks && live_.size() <= kHeardSize);
+  speak_ = speak_ || (asks && live_.size() <= kMaxSmallFleet);
   const Standing before = standing(now, fact.owner, peer);
   peer.stage = value;
   peer.stage_at = at;
@@ -80,14 +80,14 @@
   const auto peer = peers_.find(asked.member);
   const bool known =
       peer != peers_.end() && peer->second.stage && peer->second.incarnation >= asked.incarnation;
-  speak_ = speak_ || (!known && live_.size() <= kHeardSize);
+  speak_ = speak_ || (!known && live_.size() <= kMaxSmallFleet);
 }
 
 bool Recovery::take_list(Time now, MemberId member, Peer& peer, const Told& fact) {
   const std::optional<ListValue> value = read_list(fact.value);
   if (!value) return false;
   peer.list = *value;
-  if (!value->live) offices_.forget_told(member, peer.survivor ? Rank::survivor : Rank::peer);
+  if (!value->live) offices_.forget_list(member, peer.survivor ? Rank::survivor : Rank::peer);
   if (live_.contains(member)) take_epoch(now, peer);
   believe_all(now, member, peer);
   return true;
@@ -134,7 +134,7 @@
 // Ended is told by a list that was live as it was said; the rest of a list counts while it is live.
 void Recovery::believe(Time now, MemberId member, const Peer& peer, const Held& held) {
   const Rank seen = peer.survivor ? Rank::survivor : Rank::peer;
-  const auto say = [&](Rank rank, const Sight& sight) {
+  const auto say = [&](Rank rank, const Observation& sight) {
     Evidence e{held.value.office, rank, sight.seen, member, (now - held.at) + sight.age};
     if (rank == Rank::told) e.list = peer.list.id;
     if (held.value.warm) e.warm = *held.value.warm - std::min(sight.age, *held.value.warm);
@@ -158,7 +158,7 @@
 // What others know and the own complete list does not name.
 void Recovery::tell_absent(Time now) {
   if (!bulletin_ || !whole_list_) return;
-  for (const Judged& known : offices_.all(now)) {
+  for (const OfficeAssessment& known : offices_.all(now)) {
     if (told_.contains(known.office.id) || over(known.seen)) continue;
     Evidence e{known.office, Rank::told, Seen::absent, self_, Duration{}};
     e.list = list_;
--- a/src/fleet/recovery/publishing.cpp
+++ b/src/fleet/recovery/publishing.cpp
@@ -74,7 +74,7 @@
   if (now < publish_at_ && as == published_as_ && !news) return;
   published_as_ = as;
   publish_at_ = Time::max();
-  for (const Judged& judged : judged_) {
+  for (const OfficeAssessment& judged : judged_) {
     const std::optional<OfficeValue> value = value_of(now, judged);
     if (!value) continue;
     const Due due = due_of(now, judged, *value, others, speaks(judged.office.id));
@@ -111,21 +111,21 @@
   return told == sense_of(Seen::ready) || told == sense_of(Seen::absent);
 }
 
-std::optional<OfficeValue> Recovery::value_of(Time now, const Judged& judged) const {
+std::optional<OfficeValue> Recovery::value_of(Time now, const OfficeAssessment& judged) const {
   const ServerId id = judged.office.id;
   OfficeValue value;
   const auto own = own_.find(id);
   const auto told = told_.find(id);
   if (told != told_.end()) {
     value.office = told->second.office;
-    if (bulletin_ || over(told->second.seen)) value.told = Sight{told->second.seen, {}};
+    if (bulletin_ || over(told->second.seen)) value.told = Observation{told->second.seen, {}};
   } else if (bulletin_ && whole_list_ && (!over(judged.seen) || said_not_over(id))) {
     value.office = judged.office;
-    value.told = Sight{Seen::absent, {}};
+    value.told = Observation{Seen::absent, {}};
   }
   if (own != own_.end() && (!value.told || own->second.office.start == value.office.start)) {
     if (!value.told) value.office = own->second.office;
-    value.eyes = Sight{own->second.seen, now - own->second.at};
+    value.eyes = Observation{own->second.seen, now - own->second.at};
   }
   if (!value.eyes && !value.told) return std::nullopt;
   if (judged.cold && judged.office == value.office) value.warm = judged.warm_for;
@@ -134,8 +134,8 @@
 
 // A few members speak of each office, of those who never lost power if there are some; besides these whoever
 // has seen what the verdict does not say, has been told that it is over, or has just tried it.
-Recovery::Due Recovery::due_of(Time now, const Judged& judged, const OfficeValue& value, bool others,
-                               bool speaker) const {
+Recovery::Due Recovery::due_of(Time now, const OfficeAssessment& judged, const OfficeValue& value,
+                               bool others, bool speaker) const {
   const ServerId id = judged.office.id;
   const bool ended = value.told && over(value.told->seen);
   const bool contrary = value.eyes && up(value.eyes->seen) != (judged.verdict == Verdict::trusted);
--- a/src/fleet/recovery/recovery.cpp
+++ b/src/fleet/recovery/recovery.cpp
@@ -52,9 +52,9 @@
   }
   if (!kept.other_fleet) {
     epochs_.restore(kept.list_epoch, kept.list_number);
-    leases_.restore(std::min(kept.agreed, kMostSize), std::min(kept.largest, kMostSize));
+    leases_.restore(std::min(kept.agreed, kMaxFleetSize), std::min(kept.largest, kMaxFleetSize));
     for (const auto& [office, rate] : kept.rates)
-      if (peaks_.size() < kMostValueOffices) peaks_[office] = {std::max(rate, 0.0), now};
+      if (peaks_.size() < kMaxValueOffices) peaks_[office] = {std::max(rate, 0.0), now};
   }
   judged_until_ = Time::min();
 }
@@ -65,7 +65,7 @@
   if (stage_ != Stage::full) asked_ = now;
 }
 
-void Recovery::take(Time now, const MembersTold& members) {
+void Recovery::take(Time now, const MembersChanged& members) {
   live_ = {members.live.begin(), members.live.end()};
   live_.insert(self_);
   reckoned_.reset();
@@ -73,13 +73,13 @@
   incarnations_.clear();
   for (std::size_t i = 0; i < std::min(members.live.size(), members.incarnations.size()); ++i)
     incarnations_[members.live[i]] = members.incarnations[i];
-  known_members_ = std::clamp(members.known, live_.size(), std::max(kMostSize, live_.size()));
+  known_members_ = std::clamp(members.known, live_.size(), std::max(kMaxFleetSize, live_.size()));
   members_told_ = true;
   agree(now);
 }
 
 // Its word ends with it; what its list called ended stays so.
-void Recovery::take(Time now, const MemberGone& gone) {
+void Recovery::take(Time now, const MemberRemoved& gone) {
   peers_.erase(gone.member);
   reckoned_.reset();
   if (gone.member == self_) return;
@@ -90,7 +90,7 @@
   agree(now);
 }
 
-void Recovery::take(Time now, const ListHeard& heard) {
+void Recovery::take(Time now, const ListReceived& heard) {
   if (!heard.live) return take_unfollowed(now, heard);
   const std::map<ServerId, Evidence> before = told_;
   if (heard.complete) told_.clear();
@@ -143,7 +143,7 @@
 }
 
 // As what was kept, of unknown age: it outranks nobody, and nobody is told of it.
-void Recovery::take_unfollowed(Time now, const ListHeard& heard) {
+void Recovery::take_unfollowed(Time now, const ListReceived& heard) {
   for (Evidence e : heard.offices) {
     e.rank = Rank::kept;
     e.source = self_;
@@ -154,14 +154,14 @@
 }
 
 // The word of the list that was live goes on as a sight; what it called ended stays.
-void Recovery::take(Time /*now*/, const SourceSilent& /*silent*/) {
+void Recovery::take(Time /*now*/, const SourceUnreachable& /*silent*/) {
   if (!bulletin_) return;
   bulletin_ = false;
-  offices_.forget_told(self_, Rank::own);
+  offices_.forget_list(self_, Rank::own);
   judged_until_ = Time::min();
 }
 
-void Recovery::take(Time now, const OfficeSeen& seen) {
+void Recovery::take(Time now, const OfficeObserved& seen) {
   Evidence e = seen.evidence;
   e.rank = Rank::own;
   e.source = self_;
@@ -172,14 +172,14 @@
   judged_until_ = Time::min();
 }
 
-void Recovery::take(Time now, const Pressure& pressure) {
+void Recovery::take(Time now, const OfficeLoad& pressure) {
   const auto at = std::find_if(judged_.begin(), judged_.end(),
-                               [&](const Judged& j) { return j.office.id == pressure.office; });
+                               [&](const OfficeAssessment& j) { return j.office.id == pressure.office; });
   opening_.said(now, pressure, at == judged_.end() ? 1.0 : at->office.capacity);
 }
 
-void Recovery::take(Time /*now*/, const Carried& carried) {
-  if (carried_.contains(carried.office) || carried_.size() < kMostValueOffices)
+void Recovery::take(Time /*now*/, const CarriedRate& carried) {
+  if (carried_.contains(carried.office) || carried_.size() < kMaxValueOffices)
     carried_[carried.office] = std::max(carried.a_second, 0.0), carried_news_ = true;
 }
 
--- a/src/fleet/recovery/recovery.h
+++ b/src/fleet/recovery/recovery.h
@@ -3,24 +3,24 @@
 //
 // stage      entry                          exit                                        longest stay
 // dark       the process has started        the store was read, or there is none        bound of the driver
-// restored   the store was read             the link is up, or there is no fleet        asking_most
-// asking     members are asked              a quorum of the agreed size has spoken      asking_most
-// probation  it was a loss                  the trusted carry `enough` of the list      probation_most
-// partial    enough is trusted, or it is a  every class is open                         partial_most
+// restored   the store was read             the link is up, or there is no fleet        max_asking
+// asking     members are asked              a quorum of the agreed size has spoken      max_asking
+// probation  it was a loss                  the trusted carry `enough` of the list      max_probation
+// partial    enough is trusted, or it is a  every class is open                         max_partial
 //            first start
 // full       every class is open, or an ordinary restart
 //
 // Ordinary restart: a majority of the agreed size is live and has been full for longer than loss_window. Or,
-// as far as is known after asking_most: the own store is younger than `fresh` and says full (or there is
+// as far as is known after max_asking: the own store is younger than `fresh` and says full (or there is
 // none, a newcomer), or another member has been full; and no more members have come back than have been full,
 // or fewer than half. Should most turn out to have come back within loss_window, it is taken back. A member
-// counts by what it said since it was asked (fleets above kHeardSize: lately), and under its present
+// counts by what it said since it was asked (fleets above kMaxSmallFleet: lately), and under its present
 // incarnation. First start: of those who have started anew fewer than half have been in service before. It is
 // no recovery, yet opens by steps and no further than the trusted part of the list; it is taken back as a
 // guess is. Back: to probation from partial or full, while this is a recovery, once the trusted carry less
 // than `too_little` after they carried `enough`; to asking on a second loss inside a recovery (most members
-// have started anew within loss_window). The recovery is over kRecovered after it is full. A minority goes on
-// with what it has, takes shares by the larger size, and agrees on nothing.
+// have started anew within loss_window). The recovery is over kRecoverySettleTime after it is full. A
+// minority goes on with what it has, takes shares by the larger size, and agrees on nothing.
 //
 // Full and not recovering, what eyes have seen bars nothing: the module judges that as it did without a
 // fleet. Opening: opening.h. From the first word on as far as what is trusted can carry, a cold office
@@ -46,8 +46,8 @@
 
 namespace reeltack::fleet::recovery {
 
-inline constexpr std::size_t kHeardSize = 40;
-inline constexpr Duration kRecovered = std::chrono::seconds(30);
+inline constexpr std::size_t kMaxSmallFleet = 40;
+inline constexpr Duration kRecoverySettleTime = std::chrono::seconds(30);
 
 struct RecoveryCounts {
   std::uint64_t malformed = 0, strangers = 0, over_bound = 0;  // facts not taken
@@ -65,7 +65,7 @@
   [[nodiscard]] double opening() const { return opening_.opening(); }
   [[nodiscard]] Share share(Time now) const { return leases_.share(now); }
   [[nodiscard]] bool recovering() const { return recovering_; }  // a return from a power loss
-  [[nodiscard]] std::vector<Judged> offices(Time now) const { return offices_.all(now); }
+  [[nodiscard]] std::vector<OfficeAssessment> offices(Time now) const { return offices_.all(now); }
   [[nodiscard]] const RecoveryCounts& counts() const { return counts_; }
   [[nodiscard]] std::size_t agreed() const { return leases_.agreed(); }
   [[nodiscard]] std::size_t largest() const {
@@ -136,16 +136,16 @@
 
   void take(Time now, const Restored& restored);
   void take(Time now, const LinkUp& up);
-  void take(Time now, const MembersTold& members);
-  void take(Time now, const FactTold& told);
-  void take(Time now, const MemberGone& gone);
-  void take(Time now, const ListHeard& heard);
+  void take(Time now, const MembersChanged& members);
+  void take(Time now, const FactReceived& told);
+  void take(Time now, const MemberRemoved& gone);
+  void take(Time now, const ListReceived& heard);
   void take(Time now, const ListCaughtUp& all);
-  void take_unfollowed(Time now, const ListHeard& heard);
-  void take(Time now, const SourceSilent& silent);
-  void take(Time now, const OfficeSeen& seen);
-  void take(Time now, const Pressure& pressure);
-  void take(Time now, const Carried& carried);
+  void take_unfollowed(Time now, const ListReceived& heard);
+  void take(Time now, const SourceUnreachable& silent);
+  void take(Time now, const OfficeObserved& seen);
+  void take(Time now, const OfficeLoad& pressure);
+  void take(Time now, const CarriedRate& carried);
   void take(Time now, const Asked& asked);
   // peers.cpp
   bool take_stage(Time now, Peer& peer, const Told& fact);
@@ -180,21 +180,22 @@
   [[nodiscard]] double trusted_room() const;
   [[nodiscard]] Duration longest() const;
   // telling.cpp
-  [[nodiscard]] bool silent_as_today() const { return !linked_ && !kept_; }
+  [[nodiscard]] bool without_fleet_and_store() const { return !linked_ && !kept_; }
   [[nodiscard]] Terms terms(Time now) const;
-  [[nodiscard]] Verdict allowed(const Judged& judged) const;
-  [[nodiscard]] bool bounded(const Judged& judged) const;
-  [[nodiscard]] double allowance(const Judged& judged) const;  // all controllers' together, of the warm rate
-  [[nodiscard]] double warm_rate(const Judged& judged) const;  // 0: not known
-  [[nodiscard]] double most_a_second(Time now, const Judged& judged) const;
+  [[nodiscard]] Verdict allowed(const OfficeAssessment& judged) const;
+  [[nodiscard]] bool bounded(const OfficeAssessment& judged) const;
+  [[nodiscard]] double allowance(
+      const OfficeAssessment& judged) const;  // all controllers' together, of the warm rate
+  [[nodiscard]] double warm_rate(const OfficeAssessment& judged) const;  // 0: not known
+  [[nodiscard]] double max_rate(Time now, const OfficeAssessment& judged) const;
   void tell_terms(Time now, Actions& actions);
   void note(Time now, Actions& actions);
   void note_changes(const Terms& told, Actions& actions);
   void publish(Time now, Actions& actions);
   void publish_offices(Time now, Actions& actions);
   [[nodiscard]] bool said_not_over(ServerId id) const;
-  [[nodiscard]] std::optional<OfficeValue> value_of(Time now, const Judged& judged) const;
-  [[nodiscard]] Due due_of(Time now, const Judged& judged, const OfficeValue& value, bool others,
+  [[nodiscard]] std::optional<OfficeValue> value_of(Time now, const OfficeAssessment& judged) const;
+  [[nodiscard]] Due due_of(Time now, const OfficeAssessment& judged, const OfficeValue& value, bool others,
                            bool speaker) const;
   bool speaks(ServerId id);
   void put(Time now, facts::Key key, std::string value, int sense, Actions& actions);
@@ -227,7 +228,7 @@
   std::map<ServerId, Own> own_;
   Rates carried_;
   std::map<ServerId, Peak> peaks_;
-  std::vector<Judged> judged_;
+  std::vector<OfficeAssessment> judged_;
   Time judged_until_ = Time::min();
   std::set<ServerId> noted_;
   std::set<ServerId> news_;          // lives that the last list changed
--- a/src/fleet/recovery/recovery_types.h
+++ b/src/fleet/recovery/recovery_types.h
@@ -21,14 +21,14 @@
 
 struct RecoverySettings {
   OfficesSettings offices;
-  LeasesSettings leases;
-  Duration asking_most = std::chrono::milliseconds(700);
-  Duration probation_most = std::chrono::seconds(10);
-  Duration partial_most = std::chrono::seconds(30);
+  LeaseSettings leases;
+  Duration max_asking = std::chrono::milliseconds(700);
+  Duration max_probation = std::chrono::seconds(10);
+  Duration max_partial = std::chrono::seconds(30);
   Duration loss_window = std::chrono::seconds(5);
-  Duration opening_least = std::chrono::seconds(1);  // from 0 to 1 without any pressure
-  Duration fresh = std::chrono::seconds(15);         // a store so young is an ordinary restart's
-  double enough = 0.5;                               // of the listed capacity
+  Duration min_opening_time = std::chrono::seconds(1);  // from 0 to 1 without any pressure
+  Duration fresh = std::chrono::seconds(15);            // a store so young is an ordinary restart's
+  double enough = 0.5;                                  // of the listed capacity
   double too_little = 0.25;
   double pressed = 0.9;    // util from which the opening stands still; so does 1 - pressed refused of answers
   double cold_part = 0.7;  // of the told budget of a cold office, for all controllers together
@@ -55,48 +55,48 @@
   std::optional<Kept> kept;
 };
 struct LinkUp {};              // the fleet can be asked; never where there is none
-struct MembersTold {           // after every change of the table
+struct MembersChanged {        // after every change of the table
   std::vector<MemberId> live;  // with oneself
   std::size_t known = 1;       // all not left, dead ones included
   // Of `live`, in its order; empty where not told. What a member said under a lower one says nothing now.
   std::vector<Incarnation> incarnations = {};
 };
-struct FactTold {
+struct FactReceived {
   facts::Fact fact;
 };  // of another, new or changed
-struct MemberGone {
+struct MemberRemoved {
   MemberId member{};
 };
 struct Asked {  // a member begins to exchange facts with this one
   MemberId member{};
   Incarnation incarnation = 0;  // its own, as it names it
 };
-struct ListHeard {           // from a source of the own process: the bulletin
+struct ListReceived {        // from a source of the own process: the bulletin
   std::uint64_t number = 0;  // of the last event in it
   bool complete = false;
   std::vector<Evidence> offices;  // rank told
   bool live = true;               // false: what the configuration held; nobody follows it
   std::uint64_t restarts = 0;     // of the source, seen since the process began: its numbers went back
 };
-struct ListCaughtUp {};  // the source has told all that it has
-struct SourceSilent {};  // the bulletin is not reached: its word ages
-struct OfficeSeen {
+struct ListCaughtUp {};       // the source has told all that it has
+struct SourceUnreachable {};  // the bulletin is not reached: its word ages
+struct OfficeObserved {
   Evidence evidence;
-};                 // rank own: an answer, a refused connection, silence
-struct Pressure {  // since the last one, of one office: by its reports and answers
+};                   // rank own: an answer, a refused connection, silence
+struct OfficeLoad {  // since the last one, of one office: by its reports and answers
   ServerId office{};
   double util = -1.0;  // as reported; negative: not told
   std::uint32_t stood = 0, refused = 0, failed = 0;
 };
-struct Carried {  // the own part of what an office carries now: set-ups that stood a second
+struct CarriedRate {  // the own part of what an office carries now: set-ups that stood a second
   ServerId office{};
   double a_second = 0.0;
 };
-using Event = std::variant<Restored, LinkUp, MembersTold, FactTold, MemberGone, ListHeard, ListCaughtUp,
-                           SourceSilent, OfficeSeen, Pressure, Carried, Asked>;
+using Event = std::variant<Restored, LinkUp, MembersChanged, FactReceived, MemberRemoved, ListReceived,
+                           ListCaughtUp, SourceUnreachable, OfficeObserved, OfficeLoad, CarriedRate, Asked>;
 
 // ---- actions
-struct StageTold {
+struct StageChanged {
   Stage from{}, to{};
   const char* reason = "";
 };
@@ -104,9 +104,9 @@
 struct Terms {
   struct Line {
     Office office;
-    Verdict verdict{};            // barred and trial elsewhere: told to the module as draining
-    bool ours = false;            // on trial, and this controller is the one that tries
-    double most_a_second = -1.0;  // of set-ups there by this controller, while cold; negative: no bound
+    Verdict verdict{};       // barred and trial elsewhere: told to the module as draining
+    bool ours = false;       // on trial, and this controller is the one that tries
+    double max_rate = -1.0;  // of set-ups there by this controller, while cold; negative: no bound
   };
   std::vector<Line> offices;                    // by id
   std::vector<std::optional<Duration>> closed;  // by class; set: refused at once, come back in so long
@@ -122,7 +122,7 @@
 struct Note {
   std::string text;
 };  // what was trusted and why, for the log
-using Action = std::variant<StageTold, Terms, Publish, Keep, Note>;
+using Action = std::variant<StageChanged, Terms, Publish, Keep, Note>;
 using Actions = std::vector<Action>;
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/stages.cpp
+++ b/src/fleet/recovery/stages.cpp
@@ -27,7 +27,7 @@
   opening_.advance(now, trusted_room() / settings_.enough, most_open());
   while (step(now, actions)) {
   }
-  if (recovering_ && stage_ == Stage::full && now - stage_since_ >= kRecovered) recovering_ = false;
+  if (recovering_ && stage_ == Stage::full && now - stage_since_ >= kRecoverySettleTime) recovering_ = false;
   trials_.told(now, judged_, stage_ >= Stage::probation);
   tell_terms(now, actions);
   publish(now, actions);
@@ -47,7 +47,7 @@
 double Recovery::trusted_part() const {
   double listed = 0.0;
   double trusted = 0.0;
-  for (const Judged& judged : judged_) {
+  for (const OfficeAssessment& judged : judged_) {
     if (judged.verdict == Verdict::barred && judged.rank == Rank::told) continue;  // no longer of the list
     listed += judged.office.capacity;
     if (judged.verdict == Verdict::trusted) trusted += judged.office.capacity;
@@ -66,7 +66,7 @@
 double Recovery::trusted_room() const {
   double listed = 0.0;
   double room = 0.0;
-  for (const Judged& judged : judged_) {
+  for (const OfficeAssessment& judged : judged_) {
     if (judged.verdict == Verdict::barred && judged.rank == Rank::told) continue;
     listed += judged.office.capacity;
     if (judged.verdict != Verdict::trusted) continue;
@@ -79,11 +79,11 @@
   switch (stage_) {
     case Stage::restored:
     case Stage::asking:
-      return settings_.asking_most;
+      return settings_.max_asking;
     case Stage::probation:
-      return settings_.probation_most;
+      return settings_.max_probation;
     case Stage::partial:
-      return settings_.partial_most;
+      return settings_.max_partial;
     default:
       return Duration::max();
   }
@@ -155,7 +155,7 @@
   }
   // Few have been heard: in a rolling restart some of them have just come back too. Only most of the fleet
   // tells a loss; where it was one, the guess is taken back as they are heard. Who was away for longer than
-  // `fresh` goes by the word of those heard: of 12 a majority is seldom heard within asking_most.
+  // `fresh` goes by the word of those heard: of 12 a majority is seldom heard within max_asking.
   const bool stand = c.full > 0;
   if ((fresh_ || !kept_ || stand) && lost_ == Time::min() &&
       (c.full >= c.back || 2 * (c.back + 1) <= c.size)) {
@@ -180,10 +180,10 @@
     guessed_ = had_enough_ = false;
   }
   if (to == Stage::full) {
-    opening_.open_whole();
+    opening_.open_fully();
     full_since_ = now;
   }
-  actions.emplace_back(StageTold{from, to, reason});
+  actions.emplace_back(StageChanged{from, to, reason});
   if (to == Stage::probation || to == Stage::full) note(now, actions);
   speak_ = true;
 }
--- a/src/fleet/recovery/telling.cpp
+++ b/src/fleet/recovery/telling.cpp
@@ -20,7 +20,7 @@
     const Terms::Line& x = a.offices[i];
     const Terms::Line& y = b.offices[i];
     if (x.office != y.office || x.verdict != y.verdict || x.ours != y.ours) return false;
-    if (!about(x.most_a_second, y.most_a_second)) return false;
+    if (!about(x.max_rate, y.max_rate)) return false;
   }
   for (std::size_t c = 0; c < a.closed.size(); ++c) {
     if (a.closed[c].has_value() != b.closed[c].has_value()) return false;
@@ -29,7 +29,7 @@
   return true;
 }
 // An office's verdict in words, for the log.
-std::string words(const Judged& j, Verdict verdict, std::optional<Verdict> before) {
+std::string words(const OfficeAssessment& j, Verdict verdict, std::optional<Verdict> before) {
   static constexpr const char* kVerdicts[] = {"barred", "trial", "trusted"};
   static constexpr const char* kRanks[] = {"told", "survivor", "own", "peer", "kept"};
   static constexpr const char* kSeen[] = {"ready",   "answered", "draining", "gone",
@@ -46,16 +46,16 @@
 }
 }  // namespace
 
-Verdict Recovery::allowed(const Judged& judged) const {
+Verdict Recovery::allowed(const OfficeAssessment& judged) const {
   const bool eyes = judged.rank != Rank::told && judged.rank != Rank::kept;
   return stage_ == Stage::full && !recovering_ && eyes ? Verdict::trusted : judged.verdict;
 }
 
-bool Recovery::bounded(const Judged& judged) const {
+bool Recovery::bounded(const OfficeAssessment& judged) const {
   return judged.cold && settings_.fall_span > Duration{} && settings_.fall_multiple > 0.0;
 }
 
-double Recovery::allowance(const Judged& judged) const {
+double Recovery::allowance(const OfficeAssessment& judged) const {
   const double age = static_cast<double>(judged.warm_for.count()) /
                      std::max(static_cast<double>(settings_.ramp.count()), 1.0);
   const double warm = settings_.cold_from + (1.0 - settings_.cold_from) * std::clamp(age, 0.0, 1.0) * 0.5;
@@ -63,12 +63,12 @@
 }
 
 // Of an office that was never seen warm: what those of like size carry.
-double Recovery::warm_rate(const Judged& judged) const {
+double Recovery::warm_rate(const OfficeAssessment& judged) const {
   const auto peak = peaks_.find(judged.office.id);
   if (peak != peaks_.end() && peak->second.a_second > 0.0) return peak->second.a_second;
   double rate = 0.0;
   double capacity = 0.0;
-  for (const Judged& other : judged_) {
+  for (const OfficeAssessment& other : judged_) {
     const auto known = peaks_.find(other.office.id);
     if (known == peaks_.end() || known->second.a_second <= 0.0) continue;
     rate += known->second.a_second;
@@ -77,7 +77,7 @@
   return capacity > 0.0 ? rate / capacity * judged.office.capacity : 0.0;
 }
 
-double Recovery::most_a_second(Time now, const Judged& judged) const {
+double Recovery::max_rate(Time now, const OfficeAssessment& judged) const {
   if (!linked_ || !bounded(judged)) return -1.0;
   const double warm = warm_rate(judged);
   return warm > 0.0 ? leases_.share(now).part * allowance(judged) * warm : -1.0;
@@ -86,8 +86,8 @@
 Terms Recovery::terms(Time now) const {
   Terms terms;
   bool usable = judged_.empty();
-  for (const Judged& judged : judged_) {
-    Terms::Line line{judged.office, allowed(judged), false, most_a_second(now, judged)};
+  for (const OfficeAssessment& judged : judged_) {
+    Terms::Line line{judged.office, allowed(judged), false, max_rate(now, judged)};
     line.ours = line.verdict == Verdict::trial && trials_.ours(now, judged, live_, self_);
     usable |= line.verdict == Verdict::trusted || line.ours;
     terms.offices.push_back(line);
@@ -101,10 +101,10 @@
 
 // Without a fleet and without a store nothing is said: the module decides as before.
 void Recovery::tell_terms(Time now, Actions& actions) {
-  if (stage_ == Stage::dark || (silent_as_today() && !terms_)) return;
+  if (stage_ == Stage::dark || (without_fleet_and_store() && !terms_)) return;
   Terms now_told = terms(now);
   if (terms_ && alike(*terms_, now_told)) return;
-  for (const Judged& judged : judged_)
+  for (const OfficeAssessment& judged : judged_)
     if (linked_ && bounded(judged) && warm_rate(judged) <= 0.0 && noted_.insert(judged.office.id).second)
       actions.emplace_back(Note{"office=" + std::to_string(static_cast<std::uint32_t>(judged.office.id)) +
                                 " cold=1 bound=none reason=\"no warm rate is known\""});
--- a/src/fleet/recovery/trials.cpp
+++ b/src/fleet/recovery/trials.cpp
@@ -14,7 +14,7 @@
 }
 }  // namespace
 
-std::vector<MemberId> order_of(ServerId office, const std::set<MemberId>& live) {
+std::vector<MemberId> trial_order(ServerId office, const std::set<MemberId>& live) {
   std::vector<std::pair<std::uint64_t, MemberId>> weights;
   weights.reserve(live.size());
   for (const MemberId member : live) weights.push_back(weight(member, office));
@@ -24,9 +24,9 @@
   for (const auto& [by, member] : weights) order.push_back(member);
   return order;
 }
-void Trials::told(Time now, const std::vector<Judged>& offices, bool begun) {
+void Trials::told(Time now, const std::vector<OfficeAssessment>& offices, bool begun) {
   std::map<ServerId, Trial> trials;
-  for (const Judged& judged : offices) {
+  for (const OfficeAssessment& judged : offices) {
     if (!begun || judged.verdict != Verdict::trial) continue;
     Trial trial{judged.office, judged.source, now};
     const auto had = trials_.find(judged.office.id);
@@ -37,13 +37,13 @@
   trials_ = std::move(trials);
 }
 
-MemberId Trials::whose(Time now, const Judged& office, const std::set<MemberId>& live) const {
+MemberId Trials::whose(Time now, const OfficeAssessment& office, const std::set<MemberId>& live) const {
   const auto trial = trials_.find(office.office.id);
   if (trial == trials_.end() || live.empty()) return MemberId{};
   const Trial& t = trial->second;
-  const auto turns = (now - t.since) / kTrialTurn;
+  const auto turns = (now - t.since) / kTrialSlot;
   if (t.turn && t.turn->first == turns) return t.turn->second;
-  const std::vector<MemberId> order = order_of(office.office.id, live);
+  const std::vector<MemberId> order = trial_order(office.office.id, live);
   const auto after = std::find(order.begin(), order.end(), t.after);
   const auto first = after == order.end() ? 0 : static_cast<std::size_t>(after - order.begin()) + 1;
   t.turn = {turns, order[(first + static_cast<std::size_t>(turns)) % order.size()]};
@@ -54,16 +54,17 @@
   for (auto& [office, trial] : trials_) trial.turn.reset();
 }
 
-bool Trials::ours(Time now, const Judged& office, const std::set<MemberId>& live, MemberId self) const {
+bool Trials::ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
+                  MemberId self) const {
   const auto trial = trials_.find(office.office.id);
   if (trial == trials_.end()) return false;
-  return now - trial->second.since >= kTrialAlone * kTrialTurn || whose(now, office, live) == self;
+  return now - trial->second.since >= kSoloTrialAfterSlots * kTrialSlot || whose(now, office, live) == self;
 }
 
 Time Trials::next(Time now) const {
   Time next = Time::max();
   for (const auto& [id, trial] : trials_)
-    next = std::min(next, trial.since + ((now - trial.since) / kTrialTurn + 1) * kTrialTurn);
+    next = std::min(next, trial.since + ((now - trial.since) / kTrialSlot + 1) * kTrialSlot);
   return next;
 }
 
--- a/src/fleet/recovery/trials.h
+++ b/src/fleet/recovery/trials.h
@@ -4,10 +4,10 @@
 //
 // The order is a rendezvous hash (Thaler, Ravishankar 1998) over the live members: the higher
 // mix(member, office) first. It begins after the member that saw it down last, if that one is live. Each has
-// kTrialTurn to publish an outcome (a fact of kind office); what ends the trial is the verdict. In a
+// kTrialSlot to publish an outcome (a fact of kind office); what ends the trial is the verdict. In a
 // partition each side has its own turn. Whoever does not doubt the office does not try it, and nobody says of
-// each office whether it doubts it; so where kTrialAlone turns have brought no outcome, whoever is in doubt
-// tries it by itself, until there is one. Threads: none. Equal inputs give equal outputs.
+// each office whether it doubts it; so where kSoloTrialAfterSlots turns have brought no outcome, whoever is
+// in doubt tries it by itself, until there is one. Threads: none. Equal inputs give equal outputs.
 #pragma once
 
 #include <map>
@@ -20,12 +20,12 @@
 
 namespace reeltack::fleet::recovery {
 
-inline constexpr Duration kTrialTurn = std::chrono::milliseconds(300);
+inline constexpr Duration kTrialSlot = std::chrono::milliseconds(300);
 // 2.4 s: a turn's try has an outcome, or a sight of silence, well before.
-inline constexpr int kTrialAlone = 8;
+inline constexpr int kSoloTrialAfterSlots = 8;
 
 // The live members in the office's order.
-std::vector<MemberId> order_of(ServerId office, const std::set<MemberId>& live);
+std::vector<MemberId> trial_order(ServerId office, const std::set<MemberId>& live);
 // Of the first `most` in the order of those that count. Ends with the first `most` others that it finds
 // before itself, so that of many members few are looked at.
 template <class Counts>
@@ -44,10 +44,11 @@
 class Trials {
  public:
   // What is on trial now; what is not any more is forgotten.
-  void told(Time now, const std::vector<Judged>& offices, bool begun);
+  void told(Time now, const std::vector<OfficeAssessment>& offices, bool begun);
   // `live` as at the last members_changed().
-  [[nodiscard]] MemberId whose(Time now, const Judged& office, const std::set<MemberId>& live) const;
-  [[nodiscard]] bool ours(Time now, const Judged& office, const std::set<MemberId>& live,
+  [[nodiscard]] MemberId whose(Time now, const OfficeAssessment& office,
+                               const std::set<MemberId>& live) const;
+  [[nodiscard]] bool ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
                           MemberId self) const;
   void members_changed();
   [[nodiscard]] Time next(Time now) const;  // when the turn passes on
--- a/src/fleet/recovery/values.cpp
+++ b/src/fleet/recovery/values.cpp
@@ -64,10 +64,10 @@
     return true;
   }
   Seen seen() { return static_cast<Seen>(number(kLastSeen)); }
-  std::optional<Sight> sight() {
+  std::optional<Observation> sight() {
     if (none()) return none() ? std::nullopt : (good_ = false, std::nullopt);
     const Seen what = seen();
-    return Sight{what, age()};
+    return Observation{what, age()};
   }
   Office office(ServerId id) {
     Office o;
@@ -93,7 +93,7 @@
   bool good_ = true;
 };
 
-void add(Writer& writer, const std::optional<Sight>& sight) {
+void add(Writer& writer, const std::optional<Observation>& sight) {
   if (sight)
     writer.add(static_cast<std::uint64_t>(sight->seen)).age(sight->age);
   else
@@ -104,9 +104,9 @@
   Reader reader(record.value);
   const std::uint64_t epoch = reader.number(~std::uint64_t{0});
   const std::uint64_t number = reader.number(~std::uint64_t{0});
-  const std::optional<Duration> age = record.age ? record.age : record.age_by_wall_clock;
+  const std::optional<Duration> age = record.age ? record.age : record.wall_clock_age;
   std::vector<Evidence> offices;
-  while (reader.good() && !reader.done() && offices.size() < kMostValueOffices) {
+  while (reader.good() && !reader.done() && offices.size() < kMaxValueOffices) {
     Evidence e;
     e.office = reader.office(ServerId{});
     e.office.id = reader.id();
@@ -128,8 +128,8 @@
 std::string write(const StageValue& v) {
   Writer writer;
   writer.add(static_cast<std::uint64_t>(v.stage)).add(v.recovering ? 1 : 0).age(v.full_for).age(v.up);
-  return writer.add(std::min(v.agreed, kMostSize))
-      .add(std::min(v.largest, kMostSize))
+  return writer.add(std::min(v.agreed, kMaxFleetSize))
+      .add(std::min(v.largest, kMaxFleetSize))
       .add(v.served ? 1 : 0)
       .take();
 }
@@ -148,7 +148,7 @@
   for (const auto& [office, rate] : rates) writer.add(static_cast<std::uint64_t>(office)).part(rate);
   return writer.take();
 }
-std::string write_kept_list(ListId list, const std::vector<Evidence>& offices) {
+std::string write_stored_list(ListId list, const std::vector<Evidence>& offices) {
   Writer writer;
   writer.add(list.epoch).add(list.number);
   for (const Evidence& e : offices) {
@@ -173,8 +173,8 @@
   v.recovering = reader.number(1) == 1;
   v.full_for = reader.age();
   v.up = reader.age();
-  v.agreed = reader.number(kMostSize, 1);
-  v.largest = reader.number(kMostSize, 1);
+  v.agreed = reader.number(kMaxFleetSize, 1);
+  v.largest = reader.number(kMaxFleetSize, 1);
   v.served = reader.done() || reader.number(1) == 1;
   return reader.done() ? std::optional(v) : std::nullopt;
 }
@@ -200,14 +200,14 @@
 std::optional<Rates> read_rates(std::string_view text) {
   Reader reader(text);
   Rates rates;
-  while (reader.good() && !reader.done() && rates.size() < kMostValueOffices) {
+  while (reader.good() && !reader.done() && rates.size() < kMaxValueOffices) {
     const ServerId office = reader.id();
     rates[office] = reader.part();
   }
   return reader.done() ? std::optional(rates) : std::nullopt;
 }
 
-std::optional<Kept> read_kept(std::span<const Record> records, bool other_fleet) {
+std::optional<Kept> read_stored_state(std::span<const Record> records, bool other_fleet) {
   Kept kept;
   kept.other_fleet = other_fleet;
   bool any = false;
--- a/src/fleet/recovery/values.h
+++ b/src/fleet/recovery/values.h
@@ -29,8 +29,8 @@
 
 namespace reeltack::fleet::recovery {
 
-inline constexpr std::size_t kMostValueOffices = 2048;
-inline constexpr std::size_t kMostSize = 100'000;  // members that a fleet may say it has
+inline constexpr std::size_t kMaxValueOffices = 2048;
+inline constexpr std::size_t kMaxFleetSize = 100'000;  // members that a fleet may say it has
 inline constexpr const char* kStageRecord = "recovery.stage";
 inline constexpr const char* kListRecord = "recovery.list";
 inline constexpr const char* kRatesRecord = "recovery.rates";
@@ -50,13 +50,13 @@
   ListId id;
   bool operator==(const ListValue&) const = default;
 };
-struct Sight {
+struct Observation {
   Seen seen{};
   Duration age{};
 };
 struct OfficeValue {
   Office office;
-  std::optional<Sight> eyes, told;
+  std::optional<Observation> eyes, told;
   std::optional<Duration> warm;  // it had run for so long at least
 };
 using Rates = std::map<ServerId, double>;
@@ -70,7 +70,7 @@
 std::optional<OfficeValue> read_office(ServerId id, std::string_view text);
 std::optional<Rates> read_rates(std::string_view text);
 
-std::string write_kept_list(ListId list, const std::vector<Evidence>& offices);
+std::string write_stored_list(ListId list, const std::vector<Evidence>& offices);
 
 // A record as the store gave it back; ages since it was written. Records of other keys are passed over. None:
 // no record of recovery is there that can be read.
@@ -80,8 +80,8 @@
   std::optional<Duration> age;
   // By the wall clock, which may have been stepped since; none where it is in the future. It ranks what is
   // remembered, and proves nothing to be fresh.
-  std::optional<Duration> age_by_wall_clock = std::nullopt;
+  std::optional<Duration> wall_clock_age = std::nullopt;
 };
-std::optional<Kept> read_kept(std::span<const Record> records, bool other_fleet);
+std::optional<Kept> read_stored_state(std::span<const Record> records, bool other_fleet);
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -82,7 +82,7 @@
   const auto stands = [&](const Line* answer) {
     return std::all_of(downs.begin(), downs.end(), [&](const Line* down) {
       const bool ranked = answer->evidence.rank <= down->evidence.rank;
-      const Duration grace = ranked ? settings_.silent_doubts : Duration{};
+      const Duration grace = ranked ? settings_.answer_grace : Duration{};
       return of(answer->as_of) >= of(down->as_of) - (down->as_of ? grace : Duration{});
     });
   };
@@ -110,17 +110,17 @@
   return decide(Verdict::trial, Rank::kept, seen, "kept too long ago, or as down", kept);
 }
 
-Judged Offices::judge(Time now, const Known& known) const {
+OfficeAssessment Offices::judge(Time now, const Known& known) const {
   if (!known.decided) known.decided = decide(known);
   const Decided& d = *known.decided;
-  Judged judged{.office = d.office, .verdict = d.verdict, .rank = d.rank, .seen = d.seen};
+  OfficeAssessment judged{.office = d.office, .verdict = d.verdict, .rank = d.rank, .seen = d.seen};
   judged.reason = d.reason;
   judged.source = d.source;
   if (d.as_of) judged.age = now - *d.as_of;
   if (d.ages) {
     judged.trust = up(d.seen) ? std::min(trust(judged.age, settings_.half_life_state), 1.0) : 0.0;
-    const bool listed = trust(judged.age, settings_.half_life_list) >= settings_.trusted_from;
-    if (listed && judged.trust >= settings_.trusted_from) {
+    const bool listed = trust(judged.age, settings_.half_life_list) >= settings_.trust_threshold;
+    if (listed && judged.trust >= settings_.trust_threshold) {
       judged.verdict = Verdict::trusted;
       judged.reason = "kept as up not long ago";
     }
@@ -129,14 +129,14 @@
   return judged;
 }
 
-void Offices::warmth(Time now, const Known& known, Time kept, Judged& judged) const {
+void Offices::warmth(Time now, const Known& known, Time kept, OfficeAssessment& judged) const {
   const bool named = judged.office.start == known.first_start && known.first;
   if (named)
     judged.warm_for = std::max(now - std::min(*known.first, known.born.value_or(*known.first)), Duration{});
   if (settings_.ramp <= Duration{}) return;
   if (judged.rank == Rank::kept) {
     const auto age = kept == Time::min() ? std::nullopt : std::optional(now - kept);
-    judged.cold = trust(age, settings_.half_life_warm) < settings_.trusted_from;
+    judged.cold = trust(age, settings_.half_life_warm) < settings_.trust_threshold;
     if (judged.cold) judged.warm_for = {};
     if (judged.cold || !named) return;
   }
@@ -144,17 +144,17 @@
   judged.cold = began && judged.warm_for < settings_.ramp;
 }
 
-Judged Offices::judge(Time now, ServerId office) const {
+OfficeAssessment Offices::judge(Time now, ServerId office) const {
   const auto at = known_.find(office);
   if (at != known_.end()) return judge(now, at->second);
-  Judged none;
+  OfficeAssessment none;
   none.office.id = office;
   none.rank = Rank::kept;
   none.reason = "never heard of";
   return none;
 }
-std::vector<Judged> Offices::all(Time now) const {
-  std::vector<Judged> all;
+std::vector<OfficeAssessment> Offices::all(Time now) const {
+  std::vector<OfficeAssessment> all;
   all.reserve(known_.size());
   for (const auto& [id, known] : known_) all.push_back(judge(now, known));
   return all;
@@ -175,7 +175,7 @@
   const auto offer = [&](Time at) {
     if (at > now) next = std::min(next, at);
   };
-  const double halves = -std::log2(std::clamp(settings_.trusted_from, 1.0e-9, 1.0));
+  const double halves = -std::log2(std::clamp(settings_.trust_threshold, 1.0e-9, 1.0));
   const auto after = [&](Duration half_life) {
     return Duration(static_cast<Duration::rep>(halves * static_cast<double>(half_life.count()))) +
            Duration(1);
--- a/src/fleet/service/counters.cpp
+++ b/src/fleet/service/counters.cpp
@@ -14,7 +14,7 @@
   auto found = slots_.find(id);
   if (found == slots_.end()) {
     const std::size_t at = used_.load(std::memory_order_relaxed);
-    if (at == sums::kMostOffices) return false;
+    if (at == sums::kMaxOffices) return false;
     if (at % kBlock == 0) blocks_[at / kBlock] = std::make_unique<Block>();
     Slot& slot = (*blocks_[at / kBlock])[at % kBlock];
     slot.office = id;
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -86,16 +86,16 @@
     other_fleet = other_fleet || r.fleet != fleet_;
     recovery::Record record{r.key, r.value, std::nullopt};
     if (own) record.age = clocks::elapsed(r.written_since_boot, now.since_boot);
-    if (own && r.written_at <= now.wall) record.age_by_wall_clock = now.wall - r.written_at;
+    if (own && r.written_at <= now.wall) record.wall_clock_age = now.wall - r.written_at;
     if (r.key == kIncarnationKey && own) incarnation_ = std::max(incarnation_, number_of(r.value) + 1);
-    if (r.key == kMembersKey && r.fleet == fleet_) members_ = read_members(r.value);
+    if (r.key == kMembersKey && r.fleet == fleet_) members_ = parse_members(r.value);
     if (r.key == drift::kVoteRecord && own) rules_.vote = r.value;
     if (r.key == drift::kHeldRecord && own) rules_.held = r.value;
     if (r.key == drift::kApprovedRecord && r.fleet == fleet_) rules_.approved = r.value;
     out.push_back(std::move(record));
   }
   if (other_fleet) members_.clear();
-  kept_ = recovery::read_kept(out, other_fleet);
+  kept_ = recovery::read_stored_state(out, other_fleet);
 }
 
 void Keeping::put(const Store& what) {
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/reading.cpp
@@ -30,9 +30,9 @@
 }
 
 rules::Tree Reading::read_back() const {
-  rules::Tree out = rules::read_back(core_.decides_by(), node_.class_names);
+  rules::Tree out = rules::read_back(core_.active_settings(), node_.class_names);
   config::add_terms(turn_.settings(), out);
-  static_cast<void>(out.put("core.attempts", rules::spell(std::uint64_t{core_.most_attempts()})));
+  static_cast<void>(out.put("core.attempts", rules::to_canonical(std::uint64_t{core_.most_attempts()})));
   return out;
 }
 
@@ -40,7 +40,7 @@
   std::vector<drift::Event> out;
   if (now >= next_) {
     next_ = now + kRead;
-    out.emplace_back(drift::ReadBack{read_back()});
+    out.emplace_back(drift::RulesReadBack{read_back()});
   }
   const std::lock_guard hold(lock_);
   if (offered_) out.emplace_back(drift::Offered{*std::exchange(offered_, std::nullopt)});
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -62,31 +62,32 @@
         self_(MemberId{config::hash_of(node.name)}) {}
 
   // ---- the link's driver, on its thread
-  void begin(Time now, TurnActions& actions) override {
+  void begin(Time now, CoordinatorActions& actions) override {
     turn_.begin(now, keeping_.kept(), keeping_.remembered(), actions);
-    turn_.on(now, RulesSaid{keeping_.rules()}, actions);
+    turn_.on(now, DriftEvent{keeping_.rules()}, actions);
     reading_.offer(read_file());
     read_rules(now, actions);
     shown_.take(now, turn_);
   }
-  void on(Time now, const TurnEvent& event, TurnActions& actions) override {
-    if (const auto* core = std::get_if<CoreSaid>(&event))
-      if (const auto* heard = std::get_if<recovery::ListHeard>(&core->event))
+  void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) override {
+    if (const auto* core = std::get_if<CoreEvent>(&event))
+      if (const auto* heard = std::get_if<recovery::ListReceived>(&core->event))
         for (const recovery::Evidence& e : heard->offices) sightings_.name(e.office);
     turn_.on(now, event, actions);
   }
-  void tick(Time now, TurnActions& actions) override {
-    if (const auto durable = keeping_.became_durable(now)) turn_.on(now, IncarnationKept{*durable}, actions);
+  void tick(Time now, CoordinatorActions& actions) override {
+    if (const auto durable = keeping_.became_durable(now))
+      turn_.on(now, IncarnationPersisted{*durable}, actions);
     read_rules(now, actions);
     if (now >= sightings_.next(opens())) {
       saw_.clear();
       sightings_.collect(now, saw_);
-      turn_.core_saw(now, saw_, actions);
+      turn_.on_core_events(now, saw_, actions);
     }
     turn_.tick(now, actions);
     shown_.take(now, turn_);
   }
-  void leave(Time now, TurnActions& actions) override { turn_.leave(now, actions); }
+  void leave(Time now, CoordinatorActions& actions) override { turn_.leave(now, actions); }
   [[nodiscard]] Time next() const override {
     const Time at = std::min({turn_.next(), sightings_.next(opens()), reading_.next()});
     const auto look_again = keeping_.look_again();
@@ -94,11 +95,11 @@
   }
 
   // ---- from others
-  void saw(ServerId office, Watcher::Saw what) {
+  void saw(ServerId office, OfficeObserver::OfficeObservation what) {
     if (sightings_.saw(base::now(), office, what)) link_.hurry();
   }
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
-    recovery::ListHeard heard;
+    recovery::ListReceived heard;
     heard.complete = complete;
     heard.live = live;
     heard.number = number_;
@@ -122,7 +123,7 @@
   void caught_up() {
     if (!std::exchange(caught_up_, true)) link_.from_core(recovery::ListCaughtUp{});
   }
-  void silent() { link_.from_core(recovery::SourceSilent{}); }
+  void silent() { link_.from_core(recovery::SourceUnreachable{}); }
 
   void start() { link_.start(); }
   void reload() {
@@ -150,9 +151,10 @@
     if (!why.empty()) log_->info("version refused=\"{}\"", why);
     return out;
   }
-  void read_rules(Time now, TurnActions& actions) {
-    if (const auto vote = keeping_.vote_lasts()) turn_.on(now, RulesSaid{drift::VoteKept{*vote}}, actions);
-    for (drift::Event& event : reading_.collect(now)) turn_.on(now, RulesSaid{std::move(event)}, actions);
+  void read_rules(Time now, CoordinatorActions& actions) {
+    if (const auto vote = keeping_.vote_lasts())
+      turn_.on(now, DriftEvent{drift::VotePersisted{*vote}}, actions);
+    for (drift::Event& event : reading_.collect(now)) turn_.on(now, DriftEvent{std::move(event)}, actions);
   }
   [[nodiscard]] bool opens() const { return turn_.recovery().stage() != recovery::Stage::full; }
 
@@ -177,7 +179,7 @@
 Service::Service(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node)
     : inside_(std::make_unique<Inside>(core, list, std::move(prepared), node)) {
   core.watch(*this);
-  list.govern(*this);
+  list.set_list_arbiter(*this);
 }
 Service::~Service() = default;
 void Service::start() { inside_->start(); }
@@ -185,7 +187,7 @@
 void Service::stop() { inside_->stop(); }
 bool Service::settled() const { return inside_->settled(); }
 std::string Service::figures() const { return inside_->figures(); }
-void Service::saw(ServerId office, Watcher::Saw what) { inside_->saw(office, what); }
+void Service::saw(ServerId office, OfficeObserver::OfficeObservation what) { inside_->saw(office, what); }
 void Service::listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
   inside_->listed(live, complete, offices);
 }
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -18,7 +18,7 @@
 
 namespace reeltack::fleet {
 
-class Service final : public core::Watcher, public core::Governor {
+class Service final : public core::OfficeObserver, public core::ListArbiter {
  public:
   Service(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node);
   ~Service() override;
@@ -31,7 +31,7 @@
   [[nodiscard]] bool settled() const;  // the first terms have been handed on
   [[nodiscard]] std::string figures() const;  // proxy.fleet_NAME=VALUE lines, in a fixed order
 
-  void saw(ServerId office, core::Watcher::Saw what) override;
+  void saw(ServerId office, core::OfficeObserver::OfficeObservation what) override;
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) override;
   void numbered(std::uint64_t number) override;
   void restarted() override;
--- a/src/fleet/service/shown.cpp
+++ b/src/fleet/service/shown.cpp
@@ -9,7 +9,7 @@
   const recovery::Recovery& r = turn.recovery();
   std::uint64_t of[3] = {};
   std::uint64_t cold = 0;
-  for (const recovery::Judged& judged : r.offices(now)) {
+  for (const recovery::OfficeAssessment& judged : r.offices(now)) {
     ++of[static_cast<int>(judged.verdict)];
     cold += judged.cold ? 1 : 0;
   }
@@ -28,8 +28,8 @@
   incarnation_ = turn.members().self().incarnation;
   facts_ = turn.facts().size();
   fact_bytes_ = turn.facts().bytes();
-  const TurnCounts& c = turn.counts();
-  exchanges_ = c.exchanges_ended;
+  const CoordinatorCounters& c = turn.counts();
+  exchanges_ = c.exchanges_completed;
   exchanges_failed_ = c.exchanges_failed;
   refused_ = c.stranger + c.version + c.malformed + c.exchanges_refused;
   flooded_ = c.flooded;
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/sightings.cpp
@@ -7,17 +7,17 @@
 namespace reeltack::fleet {
 namespace {
 
-sums::Outcome outcome_of(core::Watcher::Saw what) {
+sums::Outcome outcome_of(core::OfficeObserver::OfficeObservation what) {
   switch (what) {
-    case core::Watcher::Saw::answered:
+    case core::OfficeObserver::OfficeObservation::answered:
       return sums::Outcome::answered;
-    case core::Watcher::Saw::refused:
+    case core::OfficeObserver::OfficeObservation::refused:
       return sums::Outcome::refused;
-    case core::Watcher::Saw::broke:
+    case core::OfficeObserver::OfficeObservation::broke:
       return sums::Outcome::broke;
-    case core::Watcher::Saw::silent:
+    case core::OfficeObserver::OfficeObservation::silent:
       return sums::Outcome::silent;
-    case core::Watcher::Saw::unreachable:
+    case core::OfficeObserver::OfficeObservation::unreachable:
       break;
   }
   return sums::Outcome::unreachable;
@@ -49,7 +49,7 @@
   return out;
 }
 
-bool Sightings::saw(Time now, ServerId id, core::Watcher::Saw what) {
+bool Sightings::saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation what) {
   if (!counters_.add(now, id, outcome_of(what))) return false;
   rang_.store(true, std::memory_order_release);
   return true;
--- a/src/fleet/service/sightings.h
+++ b/src/fleet/service/sightings.h
@@ -23,15 +23,16 @@
 class Sightings {
  public:
   explicit Sightings(MemberId self) : sums_(self) {}
-  bool saw(Time now, ServerId id, core::Watcher::Saw what);  // true: collect() is due at once
-  void name(const recovery::Office& office);                 // what is seen from now on is of this life of it
+  bool saw(Time now, ServerId id,
+           core::OfficeObserver::OfficeObservation what);  // true: collect() is due at once
+  void name(const recovery::Office& office);               // what is seen from now on is of this life of it
   void collect(Time now, std::vector<recovery::Event>& out);
   [[nodiscard]] Time next(bool opens) const;  // when collect() is due, while service opens or is full
 
  private:
   Counters counters_;
   std::atomic<bool> rang_{false};
-  sums::Sums sums_;
+  sums::OutcomeReporter sums_;
   std::vector<sums::Totals> totals_;  // as read last
 };
 
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms.cpp
@@ -19,7 +19,7 @@
   return a.address == b.address && a.entry.state == b.entry.state && a.entry.place == b.entry.place &&
          a.entry.capacity == b.entry.capacity && a.entry.start == b.entry.start;
 }
-bool same(const TermsTold& a, const TermsTold& b) {
+bool same(const AdmissionLimitsReceived& a, const AdmissionLimitsReceived& b) {
   return a.closed == b.closed &&
          std::equal(a.paces.begin(), a.paces.end(), b.paces.begin(), b.paces.end(),
                     [](const auto& x, const auto& y) { return x.server == y.server && x.apart == y.apart; });
@@ -29,14 +29,14 @@
 
 TermsApplied::Told TermsApplied::take(const recovery::Terms& terms) {
   Told out;
-  TermsTold module;
+  AdmissionLimitsReceived module;
   std::map<ServerId, core::OfficeEntry> now;
   for (const recovery::Terms::Line& line : terms.offices) {
     const core::OfficeEntry entry =
         entry_of(line.office, usable(line) ? ServerState::ready : ServerState::draining);
     now.emplace(line.office.id, entry);
-    if (line.most_a_second < 0.0) continue;
-    const double apart = 1.0 / std::max(line.most_a_second, 1.0e-6);
+    if (line.max_rate < 0.0) continue;
+    const double apart = 1.0 / std::max(line.max_rate, 1.0e-6);
     module.paces.push_back(
         {line.office.id,
          std::min(kLongestApart, std::chrono::duration_cast<Duration>(
--- a/src/fleet/service/terms.h
+++ b/src/fleet/service/terms.h
@@ -16,14 +16,14 @@
 class TermsApplied {
  public:
   struct Told {
-    std::vector<core::OfficeEntry> offices;  // that have changed
-    std::optional<TermsTold> module;         // where it has changed
+    std::vector<core::OfficeEntry> offices;         // that have changed
+    std::optional<AdmissionLimitsReceived> module;  // where it has changed
   };
   Told take(const recovery::Terms& terms);
 
  private:
   std::map<ServerId, core::OfficeEntry> offices_;
-  TermsTold module_;
+  AdmissionLimitsReceived module_;
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/sums/sums.cpp
+++ b/src/fleet/sums/sums.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 // Within kSoon of the last alarm none is needed: whoever heard that one collects again by then.
-bool Alarm::rings(Time now, Shown shown) {
+bool UrgencyTrigger::rings(Time now, Shown shown) {
   if (shown == Shown::nothing) return false;
   const bool turned = last_ == Shown::nothing || there(last_) != there(shown);
   last_ = shown;
@@ -27,21 +27,22 @@
   return true;
 }
 
-bool Sums::named(const recovery::Office& office) const {
+bool OutcomeReporter::named(const recovery::Office& office) const {
   const auto found = lines_.find(office.id);
   return found != lines_.end() && found->second.office.start == office.start &&
          found->second.office.at == office.at;
 }
 
-void Sums::name(const recovery::Office& office, const Totals& until_now) {
-  if (lines_.size() >= kMostOffices && !lines_.contains(office.id)) return;
+void OutcomeReporter::name(const recovery::Office& office, const Totals& until_now) {
+  if (lines_.size() >= kMaxOffices && !lines_.contains(office.id)) return;
   Line& line = lines_[office.id];
   line = {};
   line.office = office;
   line.told = until_now;
 }
 
-void Sums::collect(Time now, bool rang, std::span<const Totals> totals, std::vector<recovery::Event>& out) {
+void OutcomeReporter::collect(Time now, bool rang, std::span<const Totals> totals,
+                              std::vector<recovery::Event>& out) {
   for (const Totals& one : totals) {
     const auto found = lines_.find(one.office);
     if (found != lines_.end()) tell(now, found->second, one, out);
@@ -50,16 +51,17 @@
   if (rang) soon_until_ = now + kSoon;
 }
 
-void Sums::tell(Time now, Line& line, const Totals& totals, std::vector<recovery::Event>& out) const {
+void OutcomeReporter::tell(Time now, Line& line, const Totals& totals,
+                           std::vector<recovery::Event>& out) const {
   const bool shown =
       totals.shown != Shown::nothing && (totals.at != line.told.at || totals.shown != line.told.shown);
   if (shown && (totals.shown != line.seen || !there(line.seen) || now >= line.seen_at + kGoodAgain)) {
     line.seen = totals.shown;
     line.seen_at = now;
-    out.emplace_back(recovery::OfficeSeen{{line.office, recovery::Rank::own, seen_of(totals.shown), self_,
-                                           std::max(now - totals.at, Duration{})}});
+    out.emplace_back(recovery::OfficeObserved{{line.office, recovery::Rank::own, seen_of(totals.shown), self_,
+                                               std::max(now - totals.at, Duration{})}});
   }
-  recovery::Pressure pressure;
+  recovery::OfficeLoad pressure;
   pressure.office = totals.office;
   pressure.stood = totals.stood - line.told.stood;
   pressure.refused = totals.refused - line.told.refused;
@@ -74,17 +76,17 @@
   if (span < kCarried) return;
   const double carried =
       static_cast<double>(totals.stood - line.carried_stood) / std::chrono::duration<double>(span).count();
-  if (carried > 0.0 || line.carried > 0.0) out.emplace_back(recovery::Carried{totals.office, carried});
+  if (carried > 0.0 || line.carried > 0.0) out.emplace_back(recovery::CarriedRate{totals.office, carried});
   line.carried = carried;
   line.carried_from = now;
   line.carried_stood = totals.stood;
 }
 
-void Sums::check(std::span<const Totals> totals) const {
+void OutcomeReporter::check(std::span<const Totals> totals) const {
   const auto ahead = [](std::uint32_t told, std::uint32_t counted) {
     return static_cast<std::int32_t>(counted - told) < 0;
   };
-  if (lines_.size() > kMostOffices) throw std::logic_error("sums: over their bound");
+  if (lines_.size() > kMaxOffices) throw std::logic_error("sums: over their bound");
   for (const Totals& one : totals) {
     const auto found = lines_.find(one.office);
     if (found == lines_.end()) continue;
@@ -94,9 +96,9 @@
   }
 }
 
-Time Sums::next(bool opens) const {
+Time OutcomeReporter::next(bool opens) const {
   if (collected_ == Time::min()) return Time::min();
-  return collected_ + (opens || collected_ < soon_until_ ? kSoon : kLater);
+  return collected_ + (opens || collected_ < soon_until_ ? kSoon : kSlowReportInterval);
 }
 
 }  // namespace reeltack::fleet::sums
--- a/src/fleet/sums/sums.h
+++ b/src/fleet/sums/sums.h
@@ -5,15 +5,16 @@
 //
 // Totals grow on the core's side, whoever reads them and however often; what is told is their difference to
 // what was read before, so that each outcome is told once. From an outcome to its being told pass at most,
-// where the reader keeps to next() and hears Alarm:
+// where the reader keeps to next() and hears UrgencyTrigger:
 //   nothing    the first of an office, and each change between "it is there" and "it is not"
 //   kSoon      a further change of the same office within kSoon of such a one; and all else while service
 //              opens, which goes by pressure in steps of a tenth of a second
-//   kLater     all else in full service: there pressure moves nothing, and rates are learned once a second
+//   kSlowReportInterval     all else in full service: there pressure moves nothing, and rates are learned
+//   once a second
 //
 // An office is named with its life; what was counted before that is of an earlier one and is not told.
-// Threads: none; Alarm and effect_of() are for the core's side, Sums for the reader's. Equal inputs give
-// equal outputs; copyable. Memory: a line an office, kMostOffices at most.
+// Threads: none; UrgencyTrigger and effect_of() are for the core's side, OutcomeReporter for the reader's.
+// Equal inputs give equal outputs; copyable. Memory: a line an office, kMaxOffices at most.
 #pragma once
 
 #include <map>
@@ -25,8 +26,8 @@
 namespace reeltack::fleet::sums {
 
 inline constexpr Duration kSoon = std::chrono::milliseconds(100);
-inline constexpr Duration kLater = std::chrono::seconds(1);
-inline constexpr std::size_t kMostOffices = 4096;
+inline constexpr Duration kSlowReportInterval = std::chrono::seconds(1);
+inline constexpr std::size_t kMaxOffices = 4096;
 
 // refused: turned away by an office that is there. broke: one connection; whether the office is there shows
 // at the next.
@@ -62,7 +63,7 @@
 };
 
 // Of one office, on the core's side: whether what is shown now cannot wait.
-class Alarm {
+class UrgencyTrigger {
  public:
   bool rings(Time now, Shown shown);
 
@@ -71,9 +72,9 @@
   Time rang_ = Time::min();
 };
 
-class Sums {
+class OutcomeReporter {
  public:
-  explicit Sums(MemberId self) : self_(self) {}
+  explicit OutcomeReporter(MemberId self) : self_(self) {}
   [[nodiscard]] bool named(const recovery::Office& office) const;      // under this life
   void name(const recovery::Office& office, const Totals& until_now);  // what comes is of this life
   // Appends what is worth telling now. `rang`: an alarm since the last time.
--- a/src/fleet/turn/kept.cpp
+++ b/src/fleet/turn/kept.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string members_text(const members::Members& of) {
+std::string format_members(const members::Members& of) {
   std::string out;
   for (const auto& [id, member] : of.table()) {
     const members::Update& u = member.told;
@@ -39,10 +39,10 @@
   return out;
 }
 
-std::vector<members::Update> read_members(const std::string& text) {
+std::vector<members::Update> parse_members(const std::string& text) {
   std::vector<members::Update> out;
   std::string_view rest = text;
-  while (!rest.empty() && out.size() < members::kMostMembers) {
+  while (!rest.empty() && out.size() < members::kMaxMembers) {
     const std::size_t end = rest.find('\n');
     std::string_view line = rest.substr(0, end);
     rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
@@ -53,7 +53,7 @@
     if (!figure(line, id) || !figure(line, u.at.address) || !figure(line, u.at.port) ||
         !figure(line, u.incarnation) || !field(line, name) || !field(line, zone))
       continue;
-    if (id == 0 || u.at.port == 0 || name.size() > members::kMostName || zone.size() > members::kMostZone)
+    if (id == 0 || u.at.port == 0 || name.size() > members::kMostName || zone.size() > members::kMaxZoneBytes)
       continue;
     u.member = MemberId{id};
     u.name = name;
--- a/src/fleet/turn/people.cpp
+++ b/src/fleet/turn/people.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Turn::log_change(const members::Changed& change, TurnActions& actions) const {
+void Turn::log_change(const members::HealthChanged& change, CoordinatorActions& actions) const {
   const auto found = members_.table().find(change.member);
   const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
   actions.emplace_back(
@@ -20,9 +20,9 @@
                         " reason=\"" + change.reason + "\""});
 }
 
-void Turn::tell_members(Time now, TurnActions& actions) {
+void Turn::tell_members(Time now, CoordinatorActions& actions) {
   people_changed_ = true;
-  recovery::MembersTold told;
+  recovery::MembersChanged told;
   told.live = members_.live();
   for (const MemberId id : told.live) {
     const auto found = members_.table().find(id);
--- a/src/fleet/turn/rules.cpp
+++ b/src/fleet/turn/rules.cpp
@@ -3,8 +3,8 @@
 
 namespace reeltack::fleet {
 
-void Turn::rule(Time now, const drift::Event& event, TurnActions& actions) {
-  rules_on_ = rules_on_ || std::holds_alternative<drift::ReadBack>(event);
+void Turn::rule(Time now, const drift::Event& event, CoordinatorActions& actions) {
+  rules_on_ = rules_on_ || std::holds_alternative<drift::RulesReadBack>(event);
   drift::Actions told;
   drift_.on(now, event, told);
   take(now, told, actions);
@@ -12,7 +12,7 @@
 
 // Many members change in one turn, and the agreed size without any of them: drift is told of all of them
 // once.
-void Turn::tick_rules(Time now, TurnActions& actions) {
+void Turn::tick_rules(Time now, CoordinatorActions& actions) {
   if (!rules_on_) return;
   if (people_changed_ || agreed_told_ != recovery_.largest()) {
     people_changed_ = false;
@@ -33,7 +33,7 @@
   take(now, told, actions);
 }
 
-void Turn::take(Time now, const drift::Actions& told, TurnActions& actions) {
+void Turn::take(Time now, const drift::Actions& told, CoordinatorActions& actions) {
   for (const drift::Action& action : told) {
     if (const auto* publish = std::get_if<drift::Publish>(&action)) {
       if (!publish->value) {
--- a/src/fleet/turn/talks.cpp
+++ b/src/fleet/turn/talks.cpp
@@ -9,32 +9,32 @@
 
 namespace reeltack::fleet {
 
-void Turn::begin_exchange(Time now, TurnActions& actions) {
+void Turn::begin_exchange(Time now, CoordinatorActions& actions) {
   const std::optional<MemberId> with = pace_.due(now, urgent(), talks_.size() < 2 * settings_.exchanges_in);
   const auto member = with ? members_.table().find(*with) : members_.table().end();
   if (member == members_.table().end()) return;
-  const Conversation id{++last_talk_ << 1U};
+  const ConnectionId id{++last_talk_ << 1U};
   talks_[id] = {.with = *with, .ours = true, .by = now + settings_.exchange_most};
-  ++counts_.exchanges_begun;
+  ++counts_.exchanges_started;
   actions.emplace_back(Dial{id, member->second.told.at, *with});
 }
 
-void Turn::opened(const Opened& opened, TurnActions& actions) {
+void Turn::opened(const Opened& opened, CoordinatorActions& actions) {
   const auto found = talks_.find(opened.id);
-  if (found == talks_.end()) return actions.emplace_back(HangUp{opened.id}), void();
+  if (found == talks_.end()) return actions.emplace_back(CloseConnection{opened.id}), void();
   say(opened.id, found->second, {envelope(), 0, facts_.summary(), {}, {}}, actions);
 }
 
-void Turn::accepted(Time now, const Accepted& accepted, TurnActions& actions) {
+void Turn::accepted(Time now, const Accepted& accepted, CoordinatorActions& actions) {
   const auto in = std::count_if(talks_.begin(), talks_.end(), [](const auto& t) { return !t.second.ours; });
   if (static_cast<std::size_t>(in) >= settings_.exchanges_in) {
     ++counts_.exchanges_refused;
-    return actions.emplace_back(HangUp{accepted.id}), void();
+    return actions.emplace_back(CloseConnection{accepted.id}), void();
   }
   talks_[accepted.id] = {.by = now + settings_.exchange_most};
 }
 
-void Turn::say(Conversation id, Talk& talk, Exchange exchange, TurnActions& actions) {
+void Turn::say(ConnectionId id, Talk& talk, Exchange exchange, CoordinatorActions& actions) {
   talk.step = exchange.step;
   count(talk, exchange);
   actions.emplace_back(SendExchange{id, std::move(exchange)});
@@ -44,10 +44,10 @@
   const std::size_t facts = exchange.delta.owners.empty() ? 0 : facts::encoded(exchange.delta);
   talk.bytes += encoded_size(exchange);
   talk.useful += facts;
-  talk.left = talk.left || facts >= settings_.facts.most_delta - settings_.facts.most_delta / 8;
+  talk.left = talk.left || facts >= settings_.facts.max_delta_bytes - settings_.facts.max_delta_bytes / 8;
 }
 
-void Turn::said(Time now, const Said& said, TurnActions& actions) {
+void Turn::said(Time now, const Said& said, CoordinatorActions& actions) {
   const auto found = talks_.find(said.id);
   if (found == talks_.end()) return;
   Talk& talk = found->second;
@@ -92,7 +92,7 @@
 }
 
 // What an exchange has brought and what changes a verdict here is told on; what came as news is not.
-void Turn::take(Time now, MemberId from, const facts::Delta& delta, TurnActions& actions) {
+void Turn::take(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions) {
   const std::uint64_t before = verdicts_;
   if (facts_.bytes() <= settings_.strangers_room) {
     take(now, facts_.take(now, from, delta), actions);
@@ -111,23 +111,23 @@
 }
 
 // Who answered and hears the end before its own last word has had nothing to say.
-void Turn::end(Time now, Conversation id, bool well, bool hang_up, TurnActions& actions) {
+void Turn::end(Time now, ConnectionId id, bool well, bool hang_up, CoordinatorActions& actions) {
   const auto found = talks_.find(id);
   if (found == talks_.end()) return;
   const Talk talk = found->second;
   talks_.erase(found);
-  ++(well ? counts_.exchanges_ended : counts_.exchanges_failed);
-  if (hang_up) actions.emplace_back(HangUp{id});
+  ++(well ? counts_.exchanges_completed : counts_.exchanges_failed);
+  if (hang_up) actions.emplace_back(CloseConnection{id});
   const bool heard = well || (!talk.ours && talk.step > 0);
   pace_.ended(now, {talk.with, talk.ours, heard, talk.left, talk.bytes, talk.useful});
 }
 
-void Turn::end_late(Time now, TurnActions& actions) {
-  std::vector<Conversation> late;
+void Turn::end_late(Time now, CoordinatorActions& actions) {
+  std::vector<ConnectionId> late;
   for (const auto& [id, talk] : talks_) {
     if (talk.by <= now) late.push_back(id);
   }
-  for (const Conversation id : late) end(now, id, false, true, actions);
+  for (const ConnectionId id : late) end(now, id, false, true, actions);
 }
 
 // As the link encodes it, without its own few bytes a message: see link/codec.
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/turn/turn.cpp
@@ -7,7 +7,7 @@
 namespace reeltack::fleet {
 namespace {
 
-std::string words(const recovery::StageTold& told) {
+std::string words(const recovery::StageChanged& told) {
   return std::string("from=") + name_of(told.from) + " to=" + name_of(told.to) + " reason=\"" + told.reason +
          "\"";
 }
@@ -35,7 +35,7 @@
   return kNames[static_cast<int>(stage)];
 }
 
-Turn::Turn(const TurnSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
+Turn::Turn(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
            std::uint64_t seed)
     : settings_(settings),
       members_(settings.members, self, seeds, seed),
@@ -46,7 +46,7 @@
       drift_(settings.drift, self.id) {}
 
 void Turn::begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> remembered,
-                 TurnActions& actions) {
+                 CoordinatorActions& actions) {
   begun_ = true;
   decide(now, recovery::Restored{std::move(kept)}, actions);
   members_.remember(remembered);
@@ -58,13 +58,13 @@
   tell_members(now, actions);
 }
 
-void Turn::on(Time now, const TurnEvent& event, TurnActions& actions) {
+void Turn::on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) {
   if (left_) return;
-  if (const auto* datagram = std::get_if<Datagram>(&event)) {
+  if (const auto* datagram = std::get_if<MembershipReceived>(&event)) {
     heard(now, datagram->message, actions);
-  } else if (const auto* news = std::get_if<NewsHeard>(&event)) {
+  } else if (const auto* news = std::get_if<PushReceived>(&event)) {
     heard(now, news->message, actions);
-  } else if (const auto* core = std::get_if<CoreSaid>(&event)) {
+  } else if (const auto* core = std::get_if<CoreEvent>(&event)) {
     decide(now, core->event, actions);
   } else if (const auto* opened = std::get_if<Opened>(&event)) {
     this->opened(*opened, actions);
@@ -74,11 +74,11 @@
     said(now, *one, actions);
   } else if (const auto* closed = std::get_if<Closed>(&event)) {
     end(now, closed->id, false, false, actions);
-  } else if (const auto* kept = std::get_if<IncarnationKept>(&event)) {
+  } else if (const auto* kept = std::get_if<IncarnationPersisted>(&event)) {
     members::Actions told;
-    members_.raised_kept(now, kept->to, told);
+    members_.incarnation_persisted(now, kept->to, told);
     take(now, told, actions);
-  } else if (const auto* rules = std::get_if<RulesSaid>(&event)) {
+  } else if (const auto* rules = std::get_if<DriftEvent>(&event)) {
     rule(now, rules->event, actions);
   } else if (const auto* bad = std::get_if<Malformed>(&event)) {
     ++counts_.malformed;
@@ -87,18 +87,18 @@
   push_news(now, actions);
 }
 
-void Turn::core_saw(Time now, std::span<const recovery::Event> events, TurnActions& actions) {
+void Turn::on_core_events(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions) {
   if (begun_ && !left_ && !events.empty()) decide(now, events, actions);
 }
 
-void Turn::heard(Time now, const members::Message& message, TurnActions& actions) {
+void Turn::heard(Time now, const members::Message& message, CoordinatorActions& actions) {
   if (!ours(message.envelope) || heard_too_often(now, message.envelope.from)) return;
   members::Actions told;
   members_.heard(now, message, told);
   take(now, told, actions);
 }
 
-void Turn::tick(Time now, TurnActions& actions) {
+void Turn::tick(Time now, CoordinatorActions& actions) {
   if (!begun_ || left_) return;
   if (now >= members_.next()) {
     members::Actions told;
@@ -121,7 +121,7 @@
   push_news(now, actions);
   if (now < members_at_) return;
   members_at_ = Time::max();
-  actions.emplace_back(Store{kMembersKey, members_text(members_), std::nullopt});
+  actions.emplace_back(Store{kMembersKey, format_members(members_), std::nullopt});
 }
 
 Time Turn::next() const {
@@ -132,34 +132,34 @@
   return at;
 }
 
-void Turn::leave(Time now, TurnActions& actions) {
+void Turn::leave(Time now, CoordinatorActions& actions) {
   if (!begun_ || left_) return;
   members::Actions told;
   members_.leave(now, told);
   take(now, told, actions);
-  for (const auto& [id, talk] : talks_) actions.emplace_back(HangUp{id});
+  for (const auto& [id, talk] : talks_) actions.emplace_back(CloseConnection{id});
   talks_.clear();
   left_ = true;
 }
 
 // ---- what the deciders want
 
-void Turn::take(Time now, const members::Actions& told, TurnActions& actions) {
+void Turn::take(Time now, const members::Actions& told, CoordinatorActions& actions) {
   bool changed = false;
   facts_.raise(members_.self().incarnation);
   for (const members::Action& action : told) {
     if (const auto* send = std::get_if<members::Send>(&action)) {
-      actions.emplace_back(SendDatagram{send->to, send->member, send->message});
-    } else if (const auto* raised = std::get_if<members::Raised>(&action)) {
+      actions.emplace_back(SendMembership{send->to, send->member, send->message});
+    } else if (const auto* raised = std::get_if<members::PersistIncarnation>(&action)) {
       actions.emplace_back(Store{kIncarnationKey, number(raised->to), std::nullopt});
-    } else if (const auto* namesake = std::get_if<members::Namesake>(&action)) {
+    } else if (const auto* namesake = std::get_if<members::DuplicateName>(&action)) {
       actions.emplace_back(Log{"namesake", "incarnation=" + number(namesake->incarnation) +
                                                " reason=\"another process speaks under this name\""});
-    } else if (const auto* change = std::get_if<members::Changed>(&action)) {
+    } else if (const auto* change = std::get_if<members::HealthChanged>(&action)) {
       changed = true;
       log_change(*change, actions);
       if (change->to == members::Health::dead || change->to == members::Health::left) {
-        decide(now, recovery::MemberGone{change->member}, actions);
+        decide(now, recovery::MemberRemoved{change->member}, actions);
         if (change->to == members::Health::left) facts_.forget(now, change->member);
       }
     }
@@ -172,21 +172,21 @@
   tell_members(now, actions);
 }
 
-void Turn::decide(Time now, std::span<const recovery::Event> events, TurnActions& actions) {
+void Turn::decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions) {
   recovery::Actions told;
   recovery_.on(now, events, told);
   take(now, told, actions);
 }
 
-void Turn::take(Time now, const recovery::Actions& told, TurnActions& actions) {
+void Turn::take(Time now, const recovery::Actions& told, CoordinatorActions& actions) {
   for (const recovery::Action& action : told) {
-    if (const auto* stage = std::get_if<recovery::StageTold>(&action)) {
+    if (const auto* stage = std::get_if<recovery::StageChanged>(&action)) {
       ++counts_.stage_changes;
       actions.emplace_back(Log{"stage", words(*stage)});
       pace_.changed(now);
     } else if (const auto* terms = std::get_if<recovery::Terms>(&action)) {
       verdicts_ = verdicts(*terms);
-      actions.emplace_back(ToCore{*terms});
+      actions.emplace_back(ApplyTerms{*terms});
     } else if (const auto* publish = std::get_if<recovery::Publish>(&action)) {
       if (!publish->value) {
         facts_.erase(now, publish->key);
@@ -203,9 +203,9 @@
   }
 }
 
-void Turn::take(Time now, const facts::Facts::Taken& taken, TurnActions& actions) {
-  if (taken.own_seen > members_.self().incarnation) {
-    actions.emplace_back(Log{"namesake", "incarnation=" + number(taken.own_seen) +
+void Turn::take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions) {
+  if (taken.conflicting_incarnation > members_.self().incarnation) {
+    actions.emplace_back(Log{"namesake", "incarnation=" + number(taken.conflicting_incarnation) +
                                              " reason=\"facts of this controller that it has not written\""});
   }
   std::vector<recovery::Event> told;
@@ -215,7 +215,7 @@
       rule(now, drift::Told{fact}, actions);
       continue;
     }
-    if (news_.learnt(now, fact)) told.emplace_back(recovery::FactTold{fact});
+    if (news_.learnt(now, fact)) told.emplace_back(recovery::FactReceived{fact});
   }
   if (!told.empty()) decide(now, told, actions);
 }
