--- a/src/fleet/turn/turn.h
+++ b/src/fleet/turn/turn.h
@@ -29,9 +29,9 @@
 
 // One exchange on one TCP connection: even where this side dialled (as numbered here), odd where it came in
 // (as numbered by the link).
-enum class Conversation : std::uint64_t {};
+enum class ConnectionId : std::uint64_t {};
 inline constexpr const char* kIncarnationKey = "incarnation";  // in the store; a number as text
-inline constexpr const char* kMembersKey = "members";          // in the store; see members_text()
+inline constexpr const char* kMembersKey = "members";          // in the store; see format_members()
 
 // One message of an exchange, either way. The asker: summary -> digest (of the buckets that differ, with the
 // own lines in them) -> delta and own digest -> delta. Each step names what it carries; the rest is empty.
@@ -45,18 +45,18 @@
 const char* name_of(recovery::Stage stage);
 // The table as the store keeps it: a line each, ID ADDRESS PORT INCARNATION NAME ZONE by tabs;
 // what cannot be read is left out.
-std::string members_text(const members::Members& of);
-std::vector<members::Update> read_members(const std::string& text);
-std::size_t encoded_size(const Exchange& exchange);                   // about; bytes
-inline constexpr std::size_t kMostExchange = std::size_t{16} * 1024;  // bytes on the wire
+std::string format_members(const members::Members& of);
+std::vector<members::Update> parse_members(const std::string& text);
+std::size_t encoded_size(const Exchange& exchange);                       // about; bytes
+inline constexpr std::size_t kMaxExchangeBytes = std::size_t{16} * 1024;  // bytes on the wire
 
-struct TurnSettings {
+struct CoordinatorSettings {
   members::MembersSettings members;
-  // A delta with what is asked for beside it must fit into kMostExchange.
-  facts::FactsSettings facts{.most_delta = std::size_t{9} * 1024};
+  // A delta with what is asked for beside it must fit into kMaxExchangeBytes.
+  facts::FactsSettings facts{.max_delta_bytes = std::size_t{9} * 1024};
   recovery::RecoverySettings recovery;
-  news::NewsSettings news;
-  pace::PaceSettings pace;
+  news::EagerPushSettings news;
+  pace::GossipScheduleSettings pace;
   drift::DriftSettings drift;
   Duration exchange_most = std::chrono::seconds(2);  // an exchange that has not ended by then is closed
   std::size_t exchanges_in = 8;                      // under way that others began
@@ -69,98 +69,99 @@
 };
 
 // ---- what comes. Times are of the own steady clock.
-struct Datagram {
+struct MembershipReceived {
   members::Message message;
 };
-struct NewsHeard {
+struct PushReceived {
   news::Message message;
 };
 struct Opened {
-  Conversation id{};
+  ConnectionId id{};
   MemberId member{};
 };  // a connection that dial() asked for is up
 struct Accepted {
-  Conversation id{};
+  ConnectionId id{};
 };  // one came in
 struct Said {
-  Conversation id{};
+  ConnectionId id{};
   Exchange exchange;
 };
 struct Closed {
-  Conversation id{};
-};                        // by the far end, or it never came up
-struct IncarnationKept {  // the store holds what Store{kIncarnationKey} asked for
+  ConnectionId id{};
+};                             // by the far end, or it never came up
+struct IncarnationPersisted {  // the store holds what Store{kIncarnationKey} asked for
   Incarnation to = 0;
 };
-struct CoreSaid {
+struct CoreEvent {
   recovery::Event event;
 };  // evidence, list, pressure
 struct Malformed {
   std::optional<MemberId> member;
-};                  // a message that could not be read
-struct RulesSaid {  // of the own process: what it decides by, what the store held, a version; not of members
+};                   // a message that could not be read
+struct DriftEvent {  // of the own process: what it decides by, what the store held, a version; not of members
   drift::Event event;
 };
-using TurnEvent = std::variant<Datagram, Opened, Accepted, Said, Closed, CoreSaid, IncarnationKept, Malformed,
-                               NewsHeard, RulesSaid>;
+using CoordinatorEvent = std::variant<MembershipReceived, Opened, Accepted, Said, Closed, CoreEvent,
+                                      IncarnationPersisted, Malformed, PushReceived, DriftEvent>;
 
 // ---- what is to be done, in this order.
-struct SendDatagram {
+struct SendMembership {
   Endpoint to{};
   MemberId member{};
   members::Message message;
 };
-struct SendNews {
+struct SendPush {
   Endpoint to{};
   MemberId member{};
   news::Message message;
 };
 struct Dial {
-  Conversation id{};
+  ConnectionId id{};
   Endpoint to{};
   MemberId member{};
 };
 struct SendExchange {
-  Conversation id{};
+  ConnectionId id{};
   Exchange exchange;
 };
-struct HangUp {
-  Conversation id{};
+struct CloseConnection {
+  ConnectionId id{};
 };
 struct Store {
   std::string key;
   std::string value;
-  std::optional<drift::Vote> vote;  // to be told by drift::VoteKept once it lasts
+  std::optional<drift::Vote> vote;  // to be told by drift::VotePersisted once it lasts
 };
-struct ToCore {
+struct ApplyTerms {
   recovery::Terms terms;
 };
 struct Log {
   std::string event;
   std::string text;
 };  // structured: event name, then key=value words
-using TurnAction = std::variant<SendDatagram, Dial, SendExchange, HangUp, Store, ToCore, Log, SendNews>;
-using TurnActions = std::vector<TurnAction>;
+using CoordinatorAction =
+    std::variant<SendMembership, Dial, SendExchange, CloseConnection, Store, ApplyTerms, Log, SendPush>;
+using CoordinatorActions = std::vector<CoordinatorAction>;
 
-struct TurnCounts {
-  std::uint64_t exchanges_begun = 0, exchanges_ended = 0, exchanges_failed = 0, exchanges_refused = 0;
+struct CoordinatorCounters {
+  std::uint64_t exchanges_started = 0, exchanges_completed = 0, exchanges_failed = 0, exchanges_refused = 0;
   std::uint64_t flooded = 0, malformed = 0, stranger = 0, version = 0;
   std::uint64_t over_bound = 0, stage_changes = 0;
 };
 
 class Turn {
  public:
-  Turn(const TurnSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
+  Turn(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
        std::uint64_t seed);
 
   // What the store held, or nothing; then the link is up (never called where the fleet cannot be asked).
   void begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> members,
-             TurnActions& actions);
-  void on(Time now, const TurnEvent& event, TurnActions& actions);
-  // What the core has seen, in its order; decided on once, where CoreSaid is decided on one by one.
-  void core_saw(Time now, std::span<const recovery::Event> events, TurnActions& actions);
-  void tick(Time now, TurnActions& actions);
-  void leave(Time now, TurnActions& actions);
+             CoordinatorActions& actions);
+  void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions);
+  // What the core has seen, in its order; decided on once, where CoreEvent is decided on one by one.
+  void on_core_events(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions);
+  void tick(Time now, CoordinatorActions& actions);
+  void leave(Time now, CoordinatorActions& actions);
   [[nodiscard]] Time next() const;
 
   [[nodiscard]] const members::Members& members() const { return members_; }
@@ -168,8 +169,8 @@
   [[nodiscard]] const recovery::Recovery& recovery() const { return recovery_; }
   [[nodiscard]] const news::News& news() const { return news_; }
   [[nodiscard]] const drift::Drift& drift() const { return drift_; }
-  [[nodiscard]] const TurnSettings& settings() const { return settings_; }
-  [[nodiscard]] const TurnCounts& counts() const { return counts_; }
+  [[nodiscard]] const CoordinatorSettings& settings() const { return settings_; }
+  [[nodiscard]] const CoordinatorCounters& counts() const { return counts_; }
   void check(Time now) const;
 
  private:
@@ -185,44 +186,44 @@
     Time since{};
     std::size_t messages = 0;
   };
-  void heard(Time now, const members::Message& message, TurnActions& actions);
-  void take(Time now, const members::Actions& told, TurnActions& actions);
-  void take(Time now, const recovery::Actions& told, TurnActions& actions);
-  void take(Time now, const facts::Facts::Taken& taken, TurnActions& actions);
-  void take(Time now, MemberId from, const facts::Delta& delta, TurnActions& actions);
+  void heard(Time now, const members::Message& message, CoordinatorActions& actions);
+  void take(Time now, const members::Actions& told, CoordinatorActions& actions);
+  void take(Time now, const recovery::Actions& told, CoordinatorActions& actions);
+  void take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions);
+  void take(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
   // urgent.cpp
-  void heard(Time now, const news::Message& message, TurnActions& actions);
-  void hand(Time now, MemberId from, const facts::Fact& fact, TurnActions& actions);
-  void log_refused(Time now, MemberId from, const news::Counts& before, TurnActions& actions);
+  void heard(Time now, const news::Message& message, CoordinatorActions& actions);
+  void hand(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions);
+  void log_refused(Time now, MemberId from, const news::Counts& before, CoordinatorActions& actions);
   void wrote(Time now, const facts::Key& key);
-  void push_news(Time now, TurnActions& actions);
+  void push_news(Time now, CoordinatorActions& actions);
   [[nodiscard]] bool belongs(MemberId member) const;
-  void log_change(const members::Changed& change, TurnActions& actions) const;
-  void tell_members(Time now, TurnActions& actions);
-  void decide(Time now, const recovery::Event& event, TurnActions& actions) {
+  void log_change(const members::HealthChanged& change, CoordinatorActions& actions) const;
+  void tell_members(Time now, CoordinatorActions& actions);
+  void decide(Time now, const recovery::Event& event, CoordinatorActions& actions) {
     decide(now, std::span(&event, 1), actions);
   }
-  void decide(Time now, std::span<const recovery::Event> events, TurnActions& actions);
+  void decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions);
   // rules.cpp
-  void rule(Time now, const drift::Event& event, TurnActions& actions);
-  void take(Time now, const drift::Actions& told, TurnActions& actions);
-  void tick_rules(Time now, TurnActions& actions);
+  void rule(Time now, const drift::Event& event, CoordinatorActions& actions);
+  void take(Time now, const drift::Actions& told, CoordinatorActions& actions);
+  void tick_rules(Time now, CoordinatorActions& actions);
   // talks
-  void begin_exchange(Time now, TurnActions& actions);
-  void opened(const Opened& opened, TurnActions& actions);
-  void accepted(Time now, const Accepted& accepted, TurnActions& actions);
-  void said(Time now, const Said& said, TurnActions& actions);
-  void say(Conversation id, Talk& talk, Exchange exchange, TurnActions& actions);
+  void begin_exchange(Time now, CoordinatorActions& actions);
+  void opened(const Opened& opened, CoordinatorActions& actions);
+  void accepted(Time now, const Accepted& accepted, CoordinatorActions& actions);
+  void said(Time now, const Said& said, CoordinatorActions& actions);
+  void say(ConnectionId id, Talk& talk, Exchange exchange, CoordinatorActions& actions);
   void count(Talk& talk, const Exchange& exchange) const;
-  void end(Time now, Conversation id, bool well, bool hang_up, TurnActions& actions);
-  void end_late(Time now, TurnActions& actions);
+  void end(Time now, ConnectionId id, bool well, bool hang_up, CoordinatorActions& actions);
+  void end_late(Time now, CoordinatorActions& actions);
   // bounds
   [[nodiscard]] bool heard_too_often(Time now, MemberId from);
   [[nodiscard]] bool ours(const Envelope& envelope);
   [[nodiscard]] bool urgent() const;  // service is not back yet
   [[nodiscard]] Envelope envelope() const;
 
-  TurnSettings settings_;
+  CoordinatorSettings settings_;
   members::Members members_;
   facts::Facts facts_;
   recovery::Recovery recovery_;
@@ -232,7 +233,7 @@
   bool rules_on_ = false;        // the own rules have been told
   bool people_changed_ = true;   // the members, and drift has not been told
   std::size_t agreed_told_ = 0;  // to drift
-  std::map<Conversation, Talk> talks_;
+  std::map<ConnectionId, Talk> talks_;
   std::map<MemberId, Flood> floods_;
   std::uint64_t last_talk_ = 0;
   std::uint64_t incarnations_ = 0;  // of all members together, as told last
@@ -242,7 +243,7 @@
   Time members_at_ = Time::max();  // when the table is to be kept
   bool begun_ = false;
   bool left_ = false;
-  TurnCounts counts_;
+  CoordinatorCounters counts_;
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/turn/urgent.cpp
+++ b/src/fleet/turn/urgent.cpp
@@ -17,7 +17,7 @@
   return found != members_.table().end() && found->second.told.health != members::Health::left;
 }
 
-void Turn::heard(Time now, const news::Message& message, TurnActions& actions) {
+void Turn::heard(Time now, const news::Message& message, CoordinatorActions& actions) {
   const MemberId from = message.envelope.from;
   if (!begun_ || !ours(message.envelope) || heard_too_often(now, from)) return;
   const news::Counts before = news_.counts();
@@ -28,7 +28,7 @@
 
 // Where it follows on what is held of its owner, the facts take it; where older ones are missing, they refuse
 // it (`after` is above what they hold), and recovery is told of it alone, until an exchange brings them all.
-void Turn::hand(Time now, MemberId from, const facts::Fact& fact, TurnActions& actions) {
+void Turn::hand(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions) {
   const facts::OwnerDelta part{fact.owner, fact.incarnation, false, false, fact.version - 1, 0, {fact}};
   const facts::Facts::Taken taken = facts_.take(now, from, {{part}});
   const auto has = facts_.of(now, fact.owner, fact.key);
@@ -37,10 +37,10 @@
   take(now, taken, actions);
   if (held) return;
   news_.told_ahead(fact);
-  decide(now, recovery::FactTold{fact}, actions);
+  decide(now, recovery::FactReceived{fact}, actions);
 }
 
-void Turn::log_refused(Time now, MemberId from, const news::Counts& before, TurnActions& actions) {
+void Turn::log_refused(Time now, MemberId from, const news::Counts& before, CoordinatorActions& actions) {
   const news::Counts& after = news_.counts();
   if (after.refused() == before.refused()) return;
   if (refused_at_ != Time::min() && now < refused_at_ + kRefusedAgain) return;
@@ -67,7 +67,7 @@
   if (const auto fact = facts_.of(now, members_.self().id, key)) news_.wrote(now, *fact);
 }
 
-void Turn::push_news(Time now, TurnActions& actions) {
+void Turn::push_news(Time now, CoordinatorActions& actions) {
   if (!begun_ || now < news_.next()) return;
   std::vector<MemberId> others, dead;
   for (const auto& [id, member] : members_.table()) {
@@ -76,7 +76,7 @@
   }
   for (news::Push& push : news_.due(now, others, dead))
     actions.emplace_back(
-        SendNews{members_.table().at(push.to).told.at, push.to, {envelope(), std::move(push.facts)}});
+        SendPush{members_.table().at(push.to).told.at, push.to, {envelope(), std::move(push.facts)}});
 }
 
 }  // namespace reeltack::fleet
--- a/src/limits/patience.cpp
+++ b/src/limits/patience.cpp
@@ -23,10 +23,10 @@
   if (so && !crowded_) crowded_ = at;
 }
 
-std::optional<Overdue> Patience::overdue(Time at) const {
-  if (crowded_) return at >= *crowded_ + settings_.unread ? std::optional(Overdue::unread) : std::nullopt;
-  if (at >= late_at()) return Overdue::late;
-  if (at >= quiet_at()) return Overdue::quiet;
+std::optional<PeerTimeout> Patience::overdue(Time at) const {
+  if (crowded_) return at >= *crowded_ + settings_.unread ? std::optional(PeerTimeout::unread) : std::nullopt;
+  if (at >= late_at()) return PeerTimeout::late;
+  if (at >= quiet_at()) return PeerTimeout::quiet;
   return std::nullopt;
 }
 
--- a/src/limits/patience.h
+++ b/src/limits/patience.h
@@ -14,18 +14,18 @@
 
 namespace reeltack::limits {
 
-struct PatienceSettings {
+struct PeerTimeoutSettings {
   Duration whole =
       std::chrono::seconds(2);  // from a message's first byte to its last; to the first byte of all
   Duration unread = std::chrono::seconds(2);  // with so much unread that no more is taken
   Duration quiet = Duration::max();           // until it is asked whether it is there; max: never
 };
 
-enum class Overdue { late, unread, quiet };
+enum class PeerTimeout { late, unread, quiet };
 
 class Patience {
  public:
-  Patience(PatienceSettings settings, Time connected)
+  Patience(PeerTimeoutSettings settings, Time connected)
       : settings_(settings), begun_(connected), looked_(connected) {}
 
   void came(Time at);       // bytes of it, before they are taken off
@@ -38,13 +38,13 @@
   [[nodiscard]] bool begun() const { return in_hand_; }
   // What has run out by then. While its answers are unread nothing is taken from it, so that it is not late
   // then.
-  [[nodiscard]] std::optional<Overdue> overdue(Time at) const;
+  [[nodiscard]] std::optional<PeerTimeout> overdue(Time at) const;
   [[nodiscard]] Time next() const;  // when something runs out; Time::max(): never
 
  private:
   [[nodiscard]] Time late_at() const;
   [[nodiscard]] Time quiet_at() const;
-  PatienceSettings settings_;
+  PeerTimeoutSettings settings_;
   Time begun_;   // of the message in hand, or the connection
   Time looked_;  // since when it is silent
   std::optional<Time> crowded_;
--- a/src/limits/shutdown.cpp
+++ b/src/limits/shutdown.cpp
@@ -25,25 +25,25 @@
 
 ShutdownTimes shutdown_times(Time asked, Duration longest_deadline) {
   const Duration counted = std::min(longest_deadline, kLongestCounted);
-  const Time refuse_rest = asked + std::max(counted + kBeforeKilled, kLeastTaking);
-  const Time offices_over = asked + counted + kBeforeKilled + kOfficesClose;
-  return {.close_idle = std::min(asked + kStillTaking, refuse_rest),
-          .refuse_rest = refuse_rest,
-          .offices_over = std::max(refuse_rest, offices_over),
-          .offices_close = kOfficesClose,
-          .connections_over = std::max(refuse_rest, offices_over + kCallersClose)};
+  const Time refuse_remaining_at = asked + std::max(counted + kBeforeKilled, kLeastTaking);
+  const Time offices_deadline = asked + counted + kBeforeKilled + kOfficesClose;
+  return {.close_idle = std::min(asked + kStillTaking, refuse_remaining_at),
+          .refuse_remaining_at = refuse_remaining_at,
+          .offices_deadline = std::max(refuse_remaining_at, offices_deadline),
+          .offices_close_timeout = kOfficesClose,
+          .connections_deadline = std::max(refuse_remaining_at, offices_deadline + kCallersClose)};
 }
 
-ShutdownOrder::Steps ShutdownOrder::next(Time at, const Seen& seen) {
+ShutdownSequence::Steps ShutdownSequence::next(Time at, const Seen& seen) {
   Steps out;
   if (at < times_.close_idle) return out;
   out.close_callers_but_one = !closing_;
   closing_ = true;
-  out.refuse_calls = at >= times_.refuse_rest;
+  out.refuse_calls = at >= times_.refuse_remaining_at;
   if (offices_by_ == Time::max()) {
     if (seen.calls_open && !out.refuse_calls) return out;
     out.finish_offices = true;
-    offices_by_ = std::min(at + times_.offices_close, times_.offices_over);
+    offices_by_ = std::min(at + times_.offices_close_timeout, times_.offices_deadline);
     return out;
   }
   if (!last_closing_) {
--- a/src/limits/shutdown.h
+++ b/src/limits/shutdown.h
@@ -11,14 +11,15 @@
 namespace reeltack::limits {
 
 struct ShutdownTimes {
-  Time close_idle;   // from then on connections are ended as soon as no set-up is open on them
-  Time refuse_rest;  // from then on whatever is open is refused; not before close_idle
-  // By then the offices are not waited for any longer to close their connections; not before refuse_rest.
-  Time offices_over;
-  Duration offices_close;  // nor for longer than this
+  Time close_idle;           // from then on connections are ended as soon as no set-up is open on them
+  Time refuse_remaining_at;  // from then on whatever is open is refused; not before close_idle
+  // By then the offices are not waited for any longer to close their connections; not before
+  // refuse_remaining_at.
+  Time offices_deadline;
+  Duration offices_close_timeout;  // nor for longer than this
   // By then connections are over on which bytes go on coming after their last answer; not before
-  // offices_over.
-  Time connections_over;
+  // offices_deadline.
+  Time connections_deadline;
 };
 
 // `asked`: when the program was told to end. `longest_deadline`: of the classes in the settings.
@@ -26,9 +27,9 @@
 
 // The order: callers are closed but for one; once no set-up is open the offices are, and read to their ends,
 // since they may have written releases; these go by the one caller that is left, which is closed then.
-class ShutdownOrder {
+class ShutdownSequence {
  public:
-  explicit ShutdownOrder(const ShutdownTimes& times) : times_(times) {}
+  explicit ShutdownSequence(const ShutdownTimes& times) : times_(times) {}
 
   struct Seen {
     bool calls_open = false;
@@ -41,7 +42,7 @@
     bool refuse_calls = false;           // again and again: more may have come
     bool finish_offices = false;         // once
     bool close_last_caller = false;      // once, after all that the offices said has been passed on
-    bool close_callers_by = false;       // whatever they send: by times.connections_over
+    bool close_callers_by = false;       // whatever they send: by times.connections_deadline
     bool done = false;
   };
   Steps next(Time at, const Seen& seen);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -104,7 +104,7 @@
   core::OfficeList list(core);
   platform::Offices offices(core, node.class_names, node.dial_limit);
   ws::Front websocket(core, list, {node.class_names, fronts.websocket_origins, fronts.websocket_connections});
-  core::OfficeSwitch sides(offices);
+  core::OfficeRouter sides(offices);
   sides.add(websocket, [&websocket](ServerId id) { return websocket.owns(id); });
   trunk::Trunks trunks;
   if (!fronts.trunks_file.empty()) {
--- a/src/membership/reach.cpp
+++ b/src/membership/reach.cpp
@@ -4,7 +4,7 @@
 
 namespace reeltack::membership {
 
-bool Reach::told(const ServerEntry& entry) {
+bool Reachability::told(const ServerEntry& entry) {
   const bool restarted = start_ && entry.start > *start_;
   start_ = entry.start;
   if (restarted) dead_ = false;
@@ -14,7 +14,7 @@
   return gone_ || restarted;
 }
 
-bool Reach::failed(Dialled how, Time at) {
+bool Reachability::failed(Dialled how, Time at) {
   // A refused connection after one that stood: the process has died, and its calls with it.
   const bool died = how == Dialled::refused && was_up_;
   // Another process may take over the address: no dialling for nothing until this one is told as started.
@@ -26,31 +26,31 @@
   return died || lost;
 }
 
-void Reach::no_room(Time at) {
+void Reachability::no_room(Time at) {
   no_room_at_ = at;
   retry_at_ = at + settings_.look;
 }
 
-Time Reach::dial_by(Time at, Duration limit) const {
+Time Reachability::dial_deadline(Time at, Duration limit) const {
   const bool awaited = calls_stand_ && was_up_ && at < lost_at();
   return awaited ? std::min(at + limit, lost_at()) : at + limit;
 }
 
-void Reach::up(Time at) {
+void Reachability::up(Time at) {
   heard_ = at;
   waits_.reset();
   was_up_ = true;
   dead_ = false;
 }
 
-void Reach::ended(Time at) { retry_at_ = at + settings_.again; }
+void Reachability::ended(Time at) { retry_at_ = at + settings_.again; }
 
-void Reach::heard(Time at) {
+void Reachability::heard(Time at) {
   heard_ = at;
   waits_.reset();
 }
 
-bool Reach::left(Time at) {
+bool Reachability::left(Time at) {
   if (waits_) return false;
   waits_ = at;
   return true;
@@ -58,7 +58,7 @@
 
 // A quiet connection stays open for ever, whether it alone is cut off or the machine has vanished. A new one
 // that comes up takes the place of the old; without one for long enough the calls are over.
-Reach::Asked Reach::asked(Dialled how, Time at) {
+Reachability::Asked Reachability::asked(Dialled how, Time at) {
   asked_ = at;
   if (how == Dialled::up) return Asked::replaced;
   if (how == Dialled::refused) return Asked::drop;
@@ -68,13 +68,13 @@
   return Asked::lost;
 }
 
-Time Reach::dial_at(bool open, bool owed) const {
+Time Reachability::dial_at(bool open, bool owed) const {
   if (open) return Time{};  // at once
   const bool wanted = !gone_ && !dead_ && (ready_ || calls_stand_ || owed);
   return wanted ? retry_at_ : Time::max();
 }
 
-Time Reach::ask_at() const {
+Time Reachability::ask_at() const {
   Time at = Time::max();
   if (waits_) at = *waits_ + settings_.unheard;
   if (calls_stand_) at = std::min(at, heard_ + settings_.quiet);
--- a/src/membership/reach.h
+++ b/src/membership/reach.h
@@ -14,7 +14,7 @@
 
 namespace reeltack::membership {
 
-struct ReachSettings {
+struct ReachabilitySettings {
   Duration quiet = std::chrono::milliseconds(2500);  // without a word while calls stand: it is asked for
   Duration unheard = std::chrono::seconds(1);        // without a word since a set-up left: the same
   Duration look =
@@ -23,14 +23,14 @@
   Duration lost = std::chrono::milliseconds(5500);  // without a word or a new connection: the machine is gone
 };
 
-class Reach {
+class Reachability {
  public:
   enum class Dialled { up, refused, failed };
-  explicit Reach(ReachSettings settings = {}) : settings_(settings) {}
+  explicit Reachability(ReachabilitySettings settings = {}) : settings_(settings) {}
 
   // The list. True: the process that an open connection leads to is told as gone or as another.
   bool told(const ServerEntry& entry);
-  void keep(bool calls_stand) { calls_stand_ = calls_stand; }
+  void keep(bool calls_established) { calls_stand_ = calls_established; }
 
   // What was dialled without a connection: true where calls that stand there are over, for the process has
   // died, or nothing was heard and nothing came up for too long.
@@ -53,8 +53,8 @@
   [[nodiscard]] Time dial_at(bool open, bool owed) const;
   // By when a connection that is dialled at `at` must be up; sooner than `limit` where calls that stand would
   // count as lost meanwhile.
-  [[nodiscard]] Time dial_by(Time at, Duration limit) const;
-  [[nodiscard]] bool calls_stand() const { return calls_stand_; }
+  [[nodiscard]] Time dial_deadline(Time at, Duration limit) const;
+  [[nodiscard]] bool calls_established() const { return calls_stand_; }
   [[nodiscard]] Time ask_at() const;  // of an open connection; Time::max(): it may stay quiet
 
  private:
@@ -62,7 +62,7 @@
   [[nodiscard]] Time lost_at() const {
     return std::max(heard_ + settings_.lost, no_room_at_ + (settings_.lost - settings_.quiet));
   }
-  ReachSettings settings_;
+  ReachabilitySettings settings_;
   std::optional<StartId> start_;
   Time retry_at_{};
   Time heard_{};
--- a/src/membership/releases.h
+++ b/src/membership/releases.h
@@ -19,7 +19,7 @@
 
 namespace reeltack::membership {
 
-struct ReleasesSettings {
+struct PendingReleasesSettings {
   // What was sent so long before a word of the far end was there before that word was said.
   Duration crossing = std::chrono::seconds(1);
   // Without any word: so old it counts as read. Max: never, for a far end that may be cut off.
@@ -29,7 +29,7 @@
 
 class Releases {
  public:
-  explicit Releases(ReleasesSettings settings = {}) : settings_(settings) {}
+  explicit Releases(PendingReleasesSettings settings = {}) : settings_(settings) {}
 
   void sent(CallId call, std::string text, Time at);
   // The far end has said that it heard this one, or it must not go again. False: none was pending.
@@ -48,7 +48,7 @@
     std::string text;
     Time at{};
   };
-  ReleasesSettings settings_;
+  PendingReleasesSettings settings_;
   std::deque<One> sent_;  // by time
 };
 
--- a/src/membership/watch_pacing.cpp
+++ b/src/membership/watch_pacing.cpp
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-void WatchPacing::heard() { failures_ = 0; }
-void WatchPacing::failed() { ++failures_; }
-void WatchPacing::not_in_time() { ++late_; }
-void WatchPacing::came_up() { late_ = 0; }
+void WatchBackoff::heard() { failures_ = 0; }
+void WatchBackoff::failed() { ++failures_; }
+void WatchBackoff::connect_timed_out() { ++late_; }
+void WatchBackoff::connect_succeeded() { late_ = 0; }
 
-Duration WatchPacing::connect_limit() const {
-  return doubled(settings_.connect, late_, settings_.longest_connect);
+Duration WatchBackoff::connect_timeout() const {
+  return doubled(settings_.connect, late_, settings_.max_connect_timeout);
 }
 
-Duration WatchPacing::pause(double uniform) const {
-  const Duration most = doubled(settings_.pause, failures_ == 0 ? 0 : failures_ - 1, settings_.longest_pause);
+Duration WatchBackoff::pause(double uniform) const {
+  const Duration most = doubled(settings_.pause, failures_ == 0 ? 0 : failures_ - 1, settings_.max_pause);
   const double part = 0.5 + 0.5 * std::clamp(uniform, 0.0, 1.0);
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, Duration::period>(most) * part);
 }
--- a/src/membership/watch_pacing.h
+++ b/src/membership/watch_pacing.h
@@ -14,32 +14,32 @@
 
 namespace reeltack::membership {
 
-struct WatchSettings {
-  Duration connect = std::chrono::milliseconds(500);   // for a connection to come up, first ...
-  Duration longest_connect = std::chrono::seconds(2);  // ... and at most, once some have not
+struct WatchBackoffSettings {
+  Duration connect = std::chrono::milliseconds(500);       // for a connection to come up, first ...
+  Duration max_connect_timeout = std::chrono::seconds(2);  // ... and at most, once some have not
   // A whole frame comes each second; without one for so long the connection is silent.
   Duration silence = std::chrono::milliseconds(1800);
-  Duration slow = std::chrono::seconds(8);                  // a silent connection is kept beside the next one
-  Duration pause = std::chrono::milliseconds(150);          // between two tries, first ...
-  Duration longest_pause = std::chrono::milliseconds(400);  // ... and at most
+  Duration slow = std::chrono::seconds(8);              // a silent connection is kept beside the next one
+  Duration pause = std::chrono::milliseconds(150);      // between two tries, first ...
+  Duration max_pause = std::chrono::milliseconds(400);  // ... and at most
 };
 
-class WatchPacing {
+class WatchBackoff {
  public:
-  explicit WatchPacing(WatchSettings settings = {}) : settings_(settings) {}
+  explicit WatchBackoff(WatchBackoffSettings settings = {}) : settings_(settings) {}
 
-  void heard();        // a whole frame
-  void failed();       // a try has ended without one
-  void not_in_time();  // a connection did not come up within connect_limit()
-  void came_up();
+  void heard();              // a whole frame
+  void failed();             // a try has ended without one
+  void connect_timed_out();  // a connection did not come up within connect_timeout()
+  void connect_succeeded();
 
-  [[nodiscard]] Duration connect_limit() const;
+  [[nodiscard]] Duration connect_timeout() const;
   // `uniform`: of [0, 1), drawn anew each time, so that hundreds do not come back in step.
   [[nodiscard]] Duration pause(double uniform) const;
-  [[nodiscard]] const WatchSettings& settings() const { return settings_; }
+  [[nodiscard]] const WatchBackoffSettings& settings() const { return settings_; }
 
  private:
-  WatchSettings settings_;
+  WatchBackoffSettings settings_;
   unsigned failures_ = 0;  // in a row
   unsigned late_ = 0;      // connections in a row
 };
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Peer::Peer(Fd fd, Duration quiet)
-    : fd_(std::move(fd)), patience_(limits::PatienceSettings{.quiet = quiet}, connected_) {}
+    : fd_(std::move(fd)), patience_(limits::PeerTimeoutSettings{.quiet = quiet}, connected_) {}
 
 void Peer::begin(Loop& loop, std::function<void(Peer&)> over) {
   loop_ = &loop;
@@ -77,19 +77,19 @@
   }
   auto overdue = patience_.overdue(at);
   // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
-  while (overdue && overdue != limits::Overdue::unread && !outbox_.crowded() && fd_.unread()) {
+  while (overdue && overdue != limits::PeerTimeout::unread && !outbox_.crowded() && fd_.unread()) {
     read();
     if (stage_ != Stage::reading) return;
     overdue = patience_.overdue(at);
   }
   if (!overdue) return;
   switch (*overdue) {
-    case limits::Overdue::unread:
+    case limits::PeerTimeout::unread:
       return abandon_open(End::unread);
-    case limits::Overdue::late:
+    case limits::PeerTimeout::late:
       late();
       return end_reading(End::late);
-    case limits::Overdue::quiet:
+    case limits::PeerTimeout::quiet:
       patience_.asked(at);
       if (quiet() == Next::end) end_reading(End::own);
   }
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -52,7 +52,7 @@
 }
 
 Bulletin::Bulletin(core::OfficeList& list, net::Address at, std::uint64_t last,
-                   membership::WatchSettings settings)
+                   membership::WatchBackoffSettings settings)
     : list_(list), last_(last), pacing_(settings), at_(std::move(at)), thread_([this] { run(); }) {}
 
 Bulletin::~Bulletin() {
@@ -111,7 +111,7 @@
   net::Dial how = net::Dial::failed;
   auto fresh = std::make_shared<Connection>();
   fresh->fd = net::dial_begin(to, how);
-  const Time by = net::now() + pacing_.connect_limit();
+  const Time by = net::now() + pacing_.connect_timeout();
   for (Duration look = kFirstLook; how == net::Dial::pending; look = std::min(2 * look, kLook)) {
     {
       std::unique_lock hold(lock_);
@@ -120,12 +120,12 @@
     if (slow_speaks()) return std::exchange(slow_, nullptr);
     how = net::dial_state(fresh->fd);
     if (how == net::Dial::pending && net::now() >= by) {
-      pacing_.not_in_time();
+      pacing_.connect_timed_out();
       return nullptr;
     }
   }
   if (how != net::Dial::up) return nullptr;
-  pacing_.came_up();
+  pacing_.connect_succeeded();
   std::string greeting;
   for (int shift = 56; shift >= 0; shift -= 8)
     greeting += static_cast<char>(last_ >> static_cast<unsigned>(shift));
--- a/src/platform/bulletin.h
+++ b/src/platform/bulletin.h
@@ -27,7 +27,7 @@
 class Bulletin {
  public:
   Bulletin(core::OfficeList& list, net::Address at, std::uint64_t last,
-           membership::WatchSettings settings = {});
+           membership::WatchBackoffSettings settings = {});
   ~Bulletin();
   // The platform has moved it: the old connection ends, and the new one resumes after the last event taken.
   void move_to(const net::Address& at);
@@ -48,7 +48,7 @@
   core::OfficeList& list_;
   // Of its own thread.
   std::uint64_t last_;
-  membership::WatchPacing pacing_;
+  membership::WatchBackoff pacing_;
   std::minstd_rand random_{std::random_device{}()};
   std::uniform_real_distribution<double> uniform_{0.0, 1.0};
   std::shared_ptr<Connection> slow_;  // silent for now, kept beside the one in use
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -73,7 +73,7 @@
     const auto next = std::next(at);
     const Open& open = at->second;
     if (!open.left && (!line_ || line_->outbox.withdraw(open.tag))) {
-      core_.send_failed(at->first, open.set_up.attempt, Ending::not_sent);
+      core_.attempt_failed(at->first, open.set_up.attempt, AttemptOutcome::not_sent);
       open_.erase(at);
     }
     at = next;
@@ -92,9 +92,9 @@
   line ? pump(line) : loop_.wake(watch_);
 }
 
-void OfficeLink::keep(bool calls_stand) {
+void OfficeLink::keep(bool calls_established) {
   const std::lock_guard hold(lock_);
-  reach_.keep(calls_stand);
+  reach_.keep(calls_established);
   look_in_time();
 }
 
@@ -160,14 +160,14 @@
       if (outdated_ || on->fd.far_end_closed()) return false;
       if (left_ms < told_ms) text = start_line(open.set_up, open.class_name, left_ms);
       if (reach_.left(at)) look_in_time();
-      core_.attempt_left();
+      core_.attempt_transmitted();
       // An end of an attempt before this one must not go again once this one is there.
       if (attempt > 0) found->second.follows_give_up = releases_.heard(call);
       return found->second.left = true;
     }
     open_.erase(found);
   }
-  core_.send_failed(call, attempt, Ending::not_sent);
+  core_.attempt_failed(call, attempt, AttemptOutcome::not_sent);
   return false;
 }
 
@@ -237,7 +237,7 @@
   if (const auto found = open_.find(line.call); found != open_.end()) {
     if (!found->second.left) return;  // of an attempt before, whose end is written or owed
     if (line.verb == Verb::finish && found->second.follows_give_up)
-      return core_.send_failed(line.call, found->second.set_up.attempt, Ending::reset);
+      return core_.attempt_failed(line.call, found->second.set_up.attempt, AttemptOutcome::reset);
     open_.erase(found);
   }
   if (line.verb == Verb::finish)
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -37,7 +37,7 @@
   bool start(const core::SetUp& set_up, const std::string& class_name);  // false: the office has gone
   void give_up(CallId call, std::uint32_t attempt);
   void release(CallId call);
-  void keep(bool calls_stand);
+  void keep(bool calls_established);
   // The program ends: no set-up is sent from now on, each connection is closed on our side once it may be,
   // and read until the office has closed it too.
   void finish();
@@ -120,7 +120,7 @@
   net::Loop::Id watch_ = 0;
   std::mutex lock_;  // guards what follows
   net::Address address_;
-  membership::Reach reach_;
+  membership::Reachability reach_;
   bool outdated_ = false;  // the connection is to a process that is told as gone, moved or started anew
   bool ended_ = false;
   bool finishing_ = false;  // the program ends
--- a/src/platform/link_dial.cpp
+++ b/src/platform/link_dial.cpp
@@ -9,8 +9,8 @@
 // How soon a dial is tried again for which this host had no port, route, descriptor or memory.
 constexpr Duration kRoomAwaited = std::chrono::milliseconds(10);
 
-membership::Reach::Dialled dialled_as(net::Dial how) {
-  using Dialled = membership::Reach::Dialled;
+membership::Reachability::Dialled dialled_as(net::Dial how) {
+  using Dialled = membership::Reachability::Dialled;
   return how == net::Dial::up ? Dialled::up : how == net::Dial::refused ? Dialled::refused : Dialled::failed;
 }
 
@@ -22,7 +22,7 @@
   dialled_ = address_;
   dialling_ = net::dial_begin(address_, how);
   const Time at = net::now();
-  dial_by_ = reach_.dial_by(at, dial_limit_);
+  dial_by_ = reach_.dial_deadline(at, dial_limit_);
   if (how == net::Dial::shortage) return no_room();
   if (how != net::Dial::pending) dialled(how);
 }
@@ -42,7 +42,7 @@
   room_by_ = net::kNever;
   net::log_line("endpoint " + net::office_name(id_) + ": this host has no room for a connection to it");
   for (const auto& [call, open] : std::exchange(open_, {}))
-    core_.send_failed(call, open.set_up.attempt, Ending::not_sent);
+    core_.attempt_failed(call, open.set_up.attempt, AttemptOutcome::not_sent);
 }
 
 void OfficeLink::look_at_dial() {
@@ -67,9 +67,10 @@
   if (reach_.failed(dialled_as(how), net::now())) {
     const char* sign = how == net::Dial::refused ? " refuses connections" : " is silent and out of reach";
     net::log_line("office " + net::office_name(id_) + sign + ": its calls are cut");
-    core_.office_died(id_);
+    core_.office_lost(id_);
   }
-  for (const auto& [call, open] : lost) core_.send_failed(call, open.set_up.attempt, Ending::connect_failed);
+  for (const auto& [call, open] : lost)
+    core_.attempt_failed(call, open.set_up.attempt, AttemptOutcome::connect_failed);
 }
 
 void OfficeLink::up(net::Fd fd) {
@@ -108,8 +109,8 @@
     // An answer that crosses the end lets the call stand there, where nobody wants it.
     if (at->second.left && !outdated_) owed_.emplace_back(at->first, finish_line(at->first));
     if (at->second.left || !reach_.ready()) {
-      core_.send_failed(at->first, at->second.set_up.attempt,
-                        at->second.left ? Ending::reset : Ending::not_sent);
+      core_.attempt_failed(at->first, at->second.set_up.attempt,
+                           at->second.left ? AttemptOutcome::reset : AttemptOutcome::not_sent);
       open_.erase(at);
     }
     at = next;
@@ -133,7 +134,7 @@
       return;
     }
     dialled_ = address_;
-    dial_by_ = reach_.dial_by(at, dial_limit_);
+    dial_by_ = reach_.dial_deadline(at, dial_limit_);
   }
   if (how == net::Dial::pending) return;
   if (collecting_) return collected(how);
@@ -145,14 +146,14 @@
   net::Fd fresh = std::move(asking_);
   loop_.unwatch(fresh);
   const auto outcome = reach_.asked(dialled_as(how), at);
-  if (outcome == membership::Reach::Asked::wait) return;
-  const bool replaced = outcome == membership::Reach::Asked::replaced;
+  if (outcome == membership::Reachability::Asked::wait) return;
+  const bool replaced = outcome == membership::Reachability::Asked::replaced;
   drop(replaced ? Rest::unread : Rest::read);
   if (replaced) return up(std::move(fresh));
-  if (outcome == membership::Reach::Asked::drop) return;
+  if (outcome == membership::Reachability::Asked::drop) return;
   net::log_line("office " + net::office_name(id_) + " is silent and out of reach: its calls are cut");
   core_.reached(id_, false);
-  core_.office_died(id_);
+  core_.office_lost(id_);
 }
 
 }  // namespace reeltack::platform
--- a/src/platform/link_leaving.cpp
+++ b/src/platform/link_leaving.cpp
@@ -50,7 +50,7 @@
 
 // When another connection is opened for the releases that may be lost on those being left.
 Time OfficeLink::collect_at() const {
-  if (!reach_.calls_stand()) return net::kNever;
+  if (!reach_.calls_established()) return net::kNever;
   Time at = collect_once_at_;
   for (const Leaving& left : leaving_) at = std::min(at, left.collect_at);
   return at;
--- a/src/platform/offices.cpp
+++ b/src/platform/offices.cpp
@@ -44,9 +44,9 @@
 
 void Offices::start(const SetUp& set_up) {
   const auto to = link(set_up.office);
-  if (!to) return core_.send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+  if (!to) return core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
   const std::string name = set_up.call_class < class_names_.size() ? class_names_[set_up.call_class] : "";
-  if (!to->start(set_up, name)) core_.send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+  if (!to->start(set_up, name)) core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
 }
 void Offices::give_up(ServerId office, CallId call, std::uint32_t attempt) {
   if (const auto to = link(office)) to->give_up(call, attempt);
@@ -54,8 +54,8 @@
 void Offices::release(ServerId office, CallId call) {
   if (const auto to = link(office)) to->release(call);
 }
-void Offices::keep(ServerId office, bool calls_stand) {
-  if (const auto to = link(office)) to->keep(calls_stand);
+void Offices::keep(ServerId office, bool calls_established) {
+  if (const auto to = link(office)) to->keep(calls_established);
 }
 
 void Offices::finish() {
--- a/src/platform/offices.h
+++ b/src/platform/offices.h
@@ -14,7 +14,7 @@
 
 class OfficeLink;
 
-class Offices final : public core::OfficeSide {
+class Offices final : public core::OfficeBackend {
  public:
   Offices(core::Core& core, std::vector<std::string> class_names, Duration dial_limit);
   ~Offices() override;
@@ -23,7 +23,7 @@
   void start(const core::SetUp& set_up) override;
   void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId office, bool calls_stand) override;
+  void keep(ServerId office, bool calls_established) override;
 
   // The program ends (OfficeLink::finish): set-ups are returned unsent from now on.
   void finish();
--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -26,7 +26,7 @@
     if (*value < 0 && name != "via") return false;
     if (name == "dest") told.destination = static_cast<std::uint32_t>(*value);
     if (name == "width" && (*value < 1 || *value > kWidest)) return false;
-    if (name == "again") told.cut_before = *value != 0;
+    if (name == "again") told.dropped_before = *value != 0;
   }
   return true;
 }
@@ -88,8 +88,8 @@
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
   }
-  told.number = NumberCalled{*number};
-  told.caller_leaves = net::now() + std::chrono::milliseconds(*ms);
+  told.number = CalledNumber{*number};
+  told.caller_leaves_at = net::now() + std::chrono::milliseconds(*ms);
   const std::string* subject = message.header("Subject");
   const auto name = std::find(class_names_.begin(), class_names_.end(), subject == nullptr ? "" : *subject);
   if (name == class_names_.end()) {  // said here: what anybody can send at full speed must not cost the core
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -16,7 +16,7 @@
 
 class SipConnection;
 
-class SipFront final : public core::CallerSide {
+class SipFront final : public core::CallerFrontend {
  public:
   SipFront(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections);
   void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -14,7 +14,8 @@
 // A caller that is there reads at once: what it left unread for longer it had read, or is out of reach.
 // Longer than our own delay in hearing of its end on a loaded machine, and shorter than a caller waits until
 // it closes an idle connection (4 s).
-inline constexpr membership::ReleasesSettings kReleases{.settled = std::chrono::seconds(3), .most = 256};
+inline constexpr membership::PendingReleasesSettings kReleases{.settled = std::chrono::seconds(3),
+                                                               .most = 256};
 
 // `echoed`: the headers of the request that its answer repeats.
 std::string sip_answer(int status, const char* reason, const std::string& echoed,
--- a/src/policy/arrival.h
+++ b/src/policy/arrival.h
@@ -77,7 +77,7 @@
   // Levels below the top: urgent, then by the worth that the call can still earn.
   std::size_t level_by_worth(const Call& call) {
     if (call.told.call_class >= set_.classes.size()) return kLowest;
-    if (call.told.cut_before) return kUrgent;
+    if (call.told.dropped_before) return kUrgent;
     if (busy_numbers_.contains(call.told.number)) return kLowest;
     double worth = set_.classes[call.told.call_class].worth;
     if (call.late) return kLate;
@@ -125,9 +125,9 @@
   }
   [[nodiscard]] Time told_late(const Call& call) {
     Duration& stay = usual_stay_[call.told.call_class];
-    const Duration left = call.told.caller_leaves - now_;
+    const Duration left = call.told.caller_leaves_at - now_;
     if (paused_ == Duration{}) stay = std::max(stay, left);
-    return paused_ == Duration{} ? now_ : std::clamp(call.told.caller_leaves - stay, heard_, now_);
+    return paused_ == Duration{} ? now_ : std::clamp(call.told.caller_leaves_at - stay, heard_, now_);
   }
 
   double best_worth_ = 0.0;
--- a/src/policy/finals.h
+++ b/src/policy/finals.h
@@ -59,7 +59,7 @@
   }
 
   void remember_turned_away(const Call& call) {
-    if (call.told.number == NumberCalled{}) return;
+    if (call.told.number == CalledNumber{}) return;
     if (!turned_away_.emplace(call.told.number, call.first_tried).second) return;
     forget_at_.emplace_back(now_ + set_.classes[call.told.call_class].deadline, call.told.number);
     while (!forget_at_.empty() && forget_at_.front().first <= now_) {
@@ -69,19 +69,19 @@
   }
 
   // EXCEPTION (number found busy): a call to it within an aim is refused; later ones take the lowest level.
-  void note_busy(NumberCalled number) {
-    if (number == NumberCalled{}) return;
+  void note_busy(CalledNumber number) {
+    if (number == CalledNumber{}) return;
     std::erase_if(busy_numbers_, [this](const auto& entry) { return now_ - entry.second > set_.ramp; });
     busy_numbers_[number] = now_;
   }
-  [[nodiscard]] bool found_busy_just_now(NumberCalled number) const {
+  [[nodiscard]] bool found_busy_just_now(CalledNumber number) const {
     const auto found = busy_numbers_.find(number);
     return found != busy_numbers_.end() && now_ < found->second + shortest_aim_;
   }
 
-  std::map<NumberCalled, Time> busy_numbers_;
-  std::unordered_map<NumberCalled, Time> turned_away_;  // when they first tried
-  std::deque<std::pair<Time, NumberCalled>> forget_at_;
+  std::map<CalledNumber, Time> busy_numbers_;
+  std::unordered_map<CalledNumber, Time> turned_away_;  // when they first tried
+  std::deque<std::pair<Time, CalledNumber>> forget_at_;
   std::set<CallId> left_;  // in this turn
 };
 
--- a/src/policy/list.h
+++ b/src/policy/list.h
@@ -6,7 +6,7 @@
 namespace reeltack::policy {
 
 struct List : Outcomes {
-  void take(const ListTold& list) {
+  void take(const ServerListReceived& list) {
     asked_ = true;
     if (list.complete) {
       for (auto& [id, s] : servers_) {
@@ -25,10 +25,10 @@
                   [&](const auto& n) { return now_ > n.second + 2 * std::max(set_.ramp, shortest_aim_); });
   }
 
-  void take(const TermsTold& terms) {
+  void take(const AdmissionLimitsReceived& terms) {
     closed_ = terms.closed;
     for (auto& [id, s] : servers_) s.pace = Duration{};
-    for (const TermsTold::Pace& p : terms.paces) {
+    for (const AdmissionLimitsReceived::Pace& p : terms.paces) {
       if (Server* s = find_server(p.server)) s->pace = p.apart;
     }
   }
@@ -55,12 +55,12 @@
                   [&](const auto& e) { return e.second.told.state == ServerState::gone && idle(e.second); });
   }
 
-  void take(const ListFailed& /*failed*/) { asked_ = false; }
+  void take(const ServerListFailed& /*failed*/) { asked_ = false; }
   void ask_for_list() {
     if (now_ < ask_again_) return;
     asked_ = true;
     ask_again_ = now_ + part_of(set_.must_ask_in, 0.1 + 0.1 * uniform());
-    out_->emplace_back(SubscribeToList{true});
+    out_->emplace_back(SubscribeToServerList{true});
   }
 
   bool asked_ = false;
--- a/src/policy/outcomes.h
+++ b/src/policy/outcomes.h
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kTellFailures = 4;  // in a row, for a line in the log
 
 struct Outcomes : Slots {
-  void take(const CallStands& stands) {
+  void take(const CallEstablished& stands) {
     Server* s = find_server(stands.server);
     if (s != nullptr && frees_slot(*s, stands.call, stands.attempt))
       answered(*s, ours_off(*s, stands.elapsed));
@@ -34,7 +34,7 @@
     Call& call = found->second;
     if (call.state != State::sent || ended.attempt + 1 != call.attempts) return;
     if (ended.number_busy) note_busy(call.told.number);
-    if (ended.call_over) {
+    if (ended.call_ended) {
       remember_turned_away(call);
       calls_.erase(found);
       return;
@@ -50,29 +50,29 @@
   // What an ending says of the server.
   void judge(Server& s, const AttemptEnded& ended) {
     switch (ended.ending) {
-      case Ending::ok:
+      case AttemptOutcome::ok:
         return answered(s, ours_off(s, ended.elapsed));
-      case Ending::full:
+      case AttemptOutcome::full:
         s.good *= 1.0 - kNewest;
         if (ended.reason == FullReason::no_lines) {
           s.no_lines_until = now_ + shortest_aim_;
           return;
         }
-        measure(s, std::max({ended.elapsed, ended.told_wait, shortest_aim_}));
-        return rest(s, ended.told_wait, s.failures + 1);
-      case Ending::busy_or_error:  // a quick error is no sign of a quick server; a busy number is
+        measure(s, std::max({ended.elapsed, ended.requested_wait, shortest_aim_}));
+        return rest(s, ended.requested_wait, s.failures + 1);
+      case AttemptOutcome::busy_or_error:  // a quick error is no sign of a quick server; a busy number is
         if (ended.number_busy) return answered(s, ours_off(s, ended.elapsed));
         [[fallthrough]];
-      case Ending::timeout:  // no answer; once an aim has passed it is a delay all the same
-        s.missed += ended.ending == Ending::timeout ? 1 : 0;
+      case AttemptOutcome::timeout:  // no answer; once an aim has passed it is a delay all the same
+        s.missed += ended.ending == AttemptOutcome::timeout ? 1 : 0;
         if (ended.elapsed >= shortest_aim_) measure(s, ended.elapsed);
         [[fallthrough]];
-      case Ending::connect_failed:
-      case Ending::reset:
+      case AttemptOutcome::connect_failed:
+      case AttemptOutcome::reset:
         s.good *= 1.0 - kNewest;
         return rest(s, Duration{}, failing(s));
-      case Ending::cancelled:
-      case Ending::not_sent:
+      case AttemptOutcome::cancelled:
+      case AttemptOutcome::not_sent:
         break;
     }
   }
@@ -80,14 +80,15 @@
   // Step 5: a set-up answered full goes once to another server with room; all else that failed is final.
   void after_failure(Call& call, const AttemptEnded& ended) {
     const bool effect_matters = set_.classes[call.told.call_class].effect != Effect::repeatable;
-    const bool never_ran = ended.ending == Ending::full || ended.ending == Ending::connect_failed ||
-                           ended.ending == Ending::not_sent;
+    const bool never_ran = ended.ending == AttemptOutcome::full ||
+                           ended.ending == AttemptOutcome::connect_failed ||
+                           ended.ending == AttemptOutcome::not_sent;
     if (effect_matters && !never_ran) call.may_have_run = true;
-    if (now_ >= call.told.caller_leaves || call.may_have_run || ended.number_busy) return fail(call);
+    if (now_ >= call.told.caller_leaves_at || call.may_have_run || ended.number_busy) return fail(call);
     Server* from = find_server(ended.server);
     if (never_ran) {
       Server* other = call.turned_back ? nullptr : rotation(call, kMargin, from);
-      if (ended.ending != Ending::connect_failed) call.turned_back = true;
+      if (ended.ending != AttemptOutcome::connect_failed) call.turned_back = true;
       if (other == nullptr || now_ + other->measured >= due(call)) return refuse(call);
       enqueue(call, *other);
       return;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -52,7 +52,7 @@
   using Outcomes::take;
 
   void take(const CallArrived& told) { arrived_.push_back(told); }
-  void take(const PeerSaid& /*said*/) {}
+  void take(const PeerMessageReceived& /*said*/) {}
   void take(const TimerFired& fired) {
     if (fired.token == TimerToken{timers_}) wake_at_ = now_;
   }
--- a/src/policy/slots.h
+++ b/src/policy/slots.h
@@ -75,7 +75,7 @@
 
   // The five rules, each on this gateway's own knowledge.
   bool send(Call& call, Server& s) {
-    if (call.told.caller_leaves <= now_) return false;        // 1: answer in time
+    if (call.told.caller_leaves_at <= now_) return false;     // 1: answer in time
     if (call.state == State::sent || s.slot) return false;    // 2: one attempt out at a time
     if (!listed_ready(s) || !open_to(call, s)) return false;  // 3: drains kept
     if (!has_turn(s)) return false;                           // 4: cold servers spared
@@ -98,7 +98,7 @@
     const Duration quick = std::max(usual, part_of(call.aim, kPatiencePart));
     const Duration slow = std::max(part_of(s.measured, kPatience), call.aim);
     const Duration patience = std::min(part_of(quick, std::exp2(std::min(s.missed, 16U))), slow);
-    return std::min(now_ + (quick_of_late(s) ? patience : slow), call.told.caller_leaves);
+    return std::min(now_ + (quick_of_late(s) ? patience : slow), call.told.caller_leaves_at);
   }
 };
 
--- a/src/policy/tests.h
+++ b/src/policy/tests.h
@@ -35,7 +35,7 @@
   [[nodiscard]] bool has_room(const Call& call, Server& s, double f) {
     if (held(s)) return false;
     const auto ahead = static_cast<double>(s.queue.count_to(call.level) + 1);
-    return ahead * seconds(delay(s)) < seconds(std::min(call.aim, call.told.caller_leaves - now_)) * f;
+    return ahead * seconds(delay(s)) < seconds(std::min(call.aim, call.told.caller_leaves_at - now_)) * f;
   }
 
   [[nodiscard]] static Time due(const Call& call) {
@@ -44,7 +44,7 @@
 
   // When a waiting call is refused at the latest: tau f, or (top level) in time for its caller.
   [[nodiscard]] Time last_start(const Call& call) const {
-    const Time latest = call.told.caller_leaves - 2 * look_again();
+    const Time latest = call.told.caller_leaves_at - 2 * look_again();
     return call.level == kTop ? latest : std::min(latest, due(call));
   }
 
--- a/src/rules/catalogue.cpp
+++ b/src/rules/catalogue.cpp
@@ -89,10 +89,10 @@
 
 std::string classes_in_order(std::span<const std::string> names) {
   std::string out;
-  for (const std::string& name : names) out += (out.empty() ? "" : ",") + spelt_name(name);
+  for (const std::string& name : names) out += (out.empty() ? "" : ",") + escape_name(name);
   constexpr std::size_t kMost = 200;  // a longer list stands by its digest
   if (out.empty()) return "none";
-  return out.size() <= kMost ? out : spell(std::uint64_t{digest_of("classes", out)});
+  return out.size() <= kMost ? out : to_canonical(std::uint64_t{digest_of("classes", out)});
 }
 
 // The parts of a key: what it is of, which one, and its name.
@@ -111,7 +111,7 @@
   const std::string_view which = key.substr(first + 1, last - first - 1);
   if (of == "class") {
     for (std::size_t i = 0; i < class_names.size(); ++i)
-      if (spelt_name(class_names[i]) == which) return {Parts::Of::one_class, i, name};
+      if (escape_name(class_names[i]) == which) return {Parts::Of::one_class, i, name};
   }
   if (of != "tenant") return {};
   const auto index = read_count(which);
@@ -142,7 +142,7 @@
   bool put = out.put("classes", classes_in_order(class_names));
   for (const auto& e : kModule) put = out.put(std::string("module.") + e.name, e.get(settings)) && put;
   for (std::size_t i = 0; i < settings.classes.size() && i < class_names.size(); ++i) {
-    const std::string at = "class." + spelt_name(class_names[i]) + ".";
+    const std::string at = "class." + escape_name(class_names[i]) + ".";
     for (const auto& e : kClass) put = out.put(at + e.name, e.get(settings.classes[i])) && put;
   }
   for (std::size_t i = 0; i < settings.tenants.size(); ++i)
@@ -174,8 +174,8 @@
   return std::string(key) + ": is no rule";
 }
 
-std::optional<Meaning> meaning_of(std::string_view key, std::span<const std::string> class_names,
-                                  std::size_t tenants) {
+std::optional<Meaning> rule_info(std::string_view key, std::span<const std::string> class_names,
+                                 std::size_t tenants) {
   const Parts parts = parts_of(key, class_names, tenants);
   const auto of = [](const auto* entry) {
     return entry == nullptr ? std::nullopt
@@ -196,7 +196,7 @@
   return std::nullopt;
 }
 
-std::vector<std::string> broken_bounds(const Tree& tree) {
+std::vector<std::string> violated_bounds(const Tree& tree) {
   std::vector<std::string> out;
   for (const auto& [key, value] : tree.rules()) {
     if (severity_of(key, value) == Severity::critical && key == "module.attempts")
@@ -208,7 +208,7 @@
     const auto aim = read_duration(value);
     const auto deadline = read_duration(tree.value(of + ".deadline").value_or(""));
     if (aim && deadline && *aim > *deadline)
-      out.push_back(said(key, ": must not be longer than ", of + ".deadline, " + spell(*deadline)));
+      out.push_back(said(key, ": must not be longer than ", of + ".deadline, " + to_canonical(*deadline)));
   }
   return out;
 }
--- a/src/rules/catalogue.h
+++ b/src/rules/catalogue.h
@@ -43,13 +43,12 @@
   Takes takes = Takes::at_start;
 };
 // Of a key of the module's; nothing: no rule has this key (for these classes).
-[[nodiscard]] std::optional<Meaning> meaning_of(std::string_view key,
-                                                std::span<const std::string> class_names,
-                                                std::size_t tenants);
+[[nodiscard]] std::optional<Meaning> rule_info(std::string_view key, std::span<const std::string> class_names,
+                                               std::size_t tenants);
 
 // What no controller may run by, whoever approved it: attempts over five, a release guard under 300 ms, a
 // class whose wanted time is longer than its give-up time. A line each; empty: none.
-[[nodiscard]] std::vector<std::string> broken_bounds(const Tree& tree);
+[[nodiscard]] std::vector<std::string> violated_bounds(const Tree& tree);
 // How much it matters that `key` is `is` (none: not there) where another value is wanted: critical where it
 // breaks one of those bounds by itself.
 [[nodiscard]] Severity severity_of(std::string_view key, const std::optional<std::string>& is);
--- a/src/rules/entries.h
+++ b/src/rules/entries.h
@@ -15,7 +15,7 @@
 struct Spelling {
   static_assert(std::is_unsigned_v<T>);
   static constexpr Type kType = Type::count;
-  static std::string of(const T& value) { return spell(std::uint64_t{value}); }
+  static std::string of(const T& value) { return to_canonical(std::uint64_t{value}); }
   static bool read(std::string_view text, T& out) {
     const auto value = read_count(text);
     if (!value || *value > std::numeric_limits<T>::max()) return false;
@@ -26,7 +26,7 @@
 template <>
 struct Spelling<Duration> {
   static constexpr Type kType = Type::duration;
-  static std::string of(const Duration& value) { return spell(value); }
+  static std::string of(const Duration& value) { return to_canonical(value); }
   static bool read(std::string_view text, Duration& out) {
     const auto value = read_duration(text);
     if (!value || *value < Duration{}) return false;
@@ -37,7 +37,7 @@
 template <>
 struct Spelling<double> {
   static constexpr Type kType = Type::number;
-  static std::string of(const double& value) { return spell(value); }
+  static std::string of(const double& value) { return to_canonical(value); }
   static bool read(std::string_view text, double& out) {
     const auto value = read_number(text);
     if (value) out = *value;
@@ -47,7 +47,7 @@
 template <>
 struct Spelling<bool> {
   static constexpr Type kType = Type::flag;
-  static std::string of(const bool& value) { return spell(value); }
+  static std::string of(const bool& value) { return to_canonical(value); }
   static bool read(std::string_view text, bool& out) {
     const auto value = read_flag(text);
     if (value) out = *value;
--- a/src/rules/tree.cpp
+++ b/src/rules/tree.cpp
@@ -36,7 +36,7 @@
          std::all_of(text.begin(), text.end(), [](char c) { return c == '.' || plain(c); });
 }
 
-std::string spelt_name(std::string_view name) {
+std::string escape_name(std::string_view name) {
   constexpr const char* kHex = "0123456789abcdef";
   std::string out;
   for (const char c : name) {
@@ -57,7 +57,7 @@
 }
 
 bool Tree::put(std::string key, std::string value) {
-  if (!is_key(key) || !is_word(value) || rules_.size() >= kMostRules) return false;
+  if (!is_key(key) || !is_word(value) || rules_.size() >= kMaxRules) return false;
   return rules_.emplace(std::move(key), std::move(value)).second;
 }
 
--- a/src/rules/tree.h
+++ b/src/rules/tree.h
@@ -37,11 +37,11 @@
   bool operator==(const Difference&) const = default;
 };
 
-inline constexpr std::size_t kMostRules = 4096;
+inline constexpr std::size_t kMaxRules = 4096;
 // 1 to 128 bytes of a-z, 0-9, _ and -, in parts of at least one, between points; class names as they are told
-// are put into it by spelt_name().
+// are put into it by escape_name().
 [[nodiscard]] bool is_key(std::string_view text);
-std::string spelt_name(std::string_view name);  // other bytes as ~XX; the same name is spelt the same
+std::string escape_name(std::string_view name);  // other bytes as ~XX; the same name is spelt the same
 [[nodiscard]] std::string_view section_of(std::string_view key);
 
 class Tree {
--- a/src/rules/value.cpp
+++ b/src/rules/value.cpp
@@ -22,30 +22,30 @@
   return kNames[static_cast<int>(type)];
 }
 
-std::string spell(Duration value) { return std::to_string(value.count()) + "ns"; }
-std::string spell(double value) {
+std::string to_canonical(Duration value) { return std::to_string(value.count()) + "ns"; }
+std::string to_canonical(double value) {
   if (!std::isfinite(value)) return "none";
   char out[32];
   const auto end = std::to_chars(out, out + sizeof out, value == 0.0 ? 0.0 : value).ptr;
   return {out, end};
 }
-std::string spell(std::uint64_t value) { return std::to_string(value); }
-std::string spell(bool value) { return value ? "yes" : "no"; }
+std::string to_canonical(std::uint64_t value) { return std::to_string(value); }
+std::string to_canonical(bool value) { return value ? "yes" : "no"; }
 
 std::optional<Duration> read_duration(std::string_view text) {
   if (!text.ends_with("ns")) return std::nullopt;
   const auto ns = whole<std::int64_t>(text.substr(0, text.size() - 2));
-  if (!ns || spell(Duration{*ns}) != text) return std::nullopt;
+  if (!ns || to_canonical(Duration{*ns}) != text) return std::nullopt;
   return Duration{*ns};
 }
 std::optional<double> read_number(std::string_view text) {
   const auto out = whole<double>(text);
-  if (!out || !std::isfinite(*out) || spell(*out) != text) return std::nullopt;
+  if (!out || !std::isfinite(*out) || to_canonical(*out) != text) return std::nullopt;
   return out;
 }
 std::optional<std::uint64_t> read_count(std::string_view text) {
   const auto out = whole<std::uint64_t>(text);
-  if (!out || spell(*out) != text) return std::nullopt;
+  if (!out || to_canonical(*out) != text) return std::nullopt;
   return out;
 }
 std::optional<bool> read_flag(std::string_view text) {
@@ -60,7 +60,7 @@
   });
 }
 
-bool is_spelt(Type type, std::string_view text) {
+bool is_canonical(Type type, std::string_view text) {
   switch (type) {
     case Type::duration:
       return read_duration(text).has_value();
--- a/src/rules/value.h
+++ b/src/rules/value.h
@@ -24,16 +24,16 @@
 enum class Type : std::uint8_t { duration, number, count, flag, word };
 const char* name_of(Type type);
 
-std::string spell(Duration value);
-std::string spell(double value);  // not finite: "none", which reads back as nothing
-std::string spell(std::uint64_t value);
-std::string spell(bool value);
+std::string to_canonical(Duration value);
+std::string to_canonical(double value);  // not finite: "none", which reads back as nothing
+std::string to_canonical(std::uint64_t value);
+std::string to_canonical(bool value);
 
 std::optional<Duration> read_duration(std::string_view text);
 std::optional<double> read_number(std::string_view text);
 std::optional<std::uint64_t> read_count(std::string_view text);
 std::optional<bool> read_flag(std::string_view text);
 [[nodiscard]] bool is_word(std::string_view text);
-[[nodiscard]] bool is_spelt(Type type, std::string_view text);
+[[nodiscard]] bool is_canonical(Type type, std::string_view text);
 
 }  // namespace reeltack::rules
--- a/src/shutdown/shutdown.cpp
+++ b/src/shutdown/shutdown.cpp
@@ -23,7 +23,7 @@
 
 void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
                ws::Front* websocket, const limits::ShutdownTimes& times) {
-  limits::ShutdownOrder order(times);
+  limits::ShutdownSequence order(times);
   for (bool done = false; !done; net::pause_until(net::now() + (done ? 0ms : kStep))) {
     const bool clients_closed = websocket == nullptr || websocket->clients_closed();
     const auto steps = order.next(net::now(), {.calls_open = core.open_calls() > 0,
@@ -42,7 +42,7 @@
       await_core(core);
       callers.close_idle();
     }
-    if (steps.close_callers_by) callers.close_by(times.connections_over);
+    if (steps.close_callers_by) callers.close_by(times.connections_deadline);
     done = steps.done;
   }
   await_core(core);
--- a/src/shutdown/shutdown.h
+++ b/src/shutdown/shutdown.h
@@ -1,6 +1,6 @@
 // The orderly end of the program's connections to callers and offices.
 //
-// Owns: carrying out the order of limits::ShutdownOrder, and the waits between its steps.
+// Owns: carrying out the order of limits::ShutdownSequence, and the waits between its steps.
 // Must never: end while a request that was read has no answer, or drop a release that was read.
 #pragma once
 
--- a/src/trunk/calls.cpp
+++ b/src/trunk/calls.cpp
@@ -21,7 +21,7 @@
     case core::Why::given_up:
       return core::kNormalClearing;
     case core::Why::none:
-    case core::Why::tried_in_vain:
+    case core::Why::attempts_failed:
     case core::Why::deadline_passed:
     case core::Why::unknown_class:
       break;
@@ -38,16 +38,16 @@
   words.set_up.call_class = set_up.call_class < class_names_.size() ? class_names_[set_up.call_class] : "";
   words.set_up.number = static_cast<std::uint64_t>(set_up.number);
   if (set_up.give_up - base::now() < kMinPatience)
-    return core_.send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+    return core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
   words.give_up = set_up.give_up;
   words.set_up.first_choice = settings_.far_place;
   words.description = set_up.description;
   circuits::GroupActions actions;
   // No circuit, no connection, or a call that came in by this very group: it has not left, in each case.
   if (group_.seize(tick(), id, actions) != Refusal::none)
-    return core_.send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+    return core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
   attempts_[set_up.call] = set_up.attempt;
-  core_.attempt_left();
+  core_.attempt_transmitted();
   carry_out(actions, words, nullptr);
   wake();
 }
--- a/src/trunk/group_actions.cpp
+++ b/src/trunk/group_actions.cpp
@@ -25,7 +25,7 @@
       core_.answered(settings_.office, CallId{n->call}, from == nullptr ? std::string() : from->description);
     } else if (const auto* x = std::get_if<circuits::NotSent>(&a)) {
       const auto out = attempts_.extract(CallId{x->call});
-      if (out) core_.send_failed(CallId{x->call}, out.mapped(), Ending::not_sent);
+      if (out) core_.attempt_failed(CallId{x->call}, out.mapped(), AttemptOutcome::not_sent);
     } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
       const CallId call{v->call};
       if (!v->outgoing) {
@@ -40,7 +40,7 @@
                      "",
                      {}});
       } else if (out && v->told && (v->cause == kNotAvailable || v->cause == circuits::kNoCircuit)) {
-        core_.send_failed(call, out.mapped(), Ending::not_sent);
+        core_.attempt_failed(call, out.mapped(), AttemptOutcome::not_sent);
       } else if (out && v->told) {
         const bool congested = v->cause == kCongestion;
         core_.ended({settings_.office,
@@ -51,7 +51,7 @@
                      congested ? "swamped" : "",
                      {}});
       } else if (out) {
-        core_.send_failed(call, out.mapped(), Ending::reset);
+        core_.attempt_failed(call, out.mapped(), AttemptOutcome::reset);
       }
     }
   }
@@ -62,10 +62,10 @@
   core::Request request;
   CallArrived& arrived = request.told;
   arrived.call = CallId{call};
-  arrived.number = NumberCalled{from.set_up.number};
+  arrived.number = CalledNumber{from.set_up.number};
   arrived.destination = from.set_up.first_choice;
-  arrived.cut_before = from.set_up.again;
-  arrived.caller_leaves = base::now() + std::chrono::milliseconds(from.set_up.patience_ms);
+  arrived.dropped_before = from.set_up.again;
+  arrived.caller_leaves_at = base::now() + std::chrono::milliseconds(from.set_up.patience_ms);
   const auto name = std::find(class_names_.begin(), class_names_.end(), from.set_up.call_class);
   request.class_known = name != class_names_.end();
   arrived.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
--- a/src/trunk/trunk.h
+++ b/src/trunk/trunk.h
@@ -39,7 +39,7 @@
   circuits::GroupSettings group;
 };
 
-class Trunk final : public core::OfficeSide, public core::CallerSide {
+class Trunk final : public core::OfficeBackend, public core::CallerFrontend {
  public:
   Trunk(core::Core& core, core::OfficeList& list, TrunkSettings settings,
         std::vector<std::string> class_names, std::uint64_t incarnation);
@@ -62,7 +62,7 @@
   void start(const core::SetUp& set_up) override;
   void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
   bool stands(CallId call, const std::string& description) override;
   void refused(CallId call, core::Why why, Duration later) override;
   void released(CallId call, int cause) override;
--- a/src/ws/clients.cpp
+++ b/src/ws/clients.cpp
@@ -48,15 +48,15 @@
     from->send(error_message("bad-message", id_text(call)));
     return;
   }
-  told.number = NumberCalled{*number};
+  told.number = CalledNumber{*number};
   told.destination = static_cast<std::uint32_t>(choice);
-  told.caller_leaves = net::now() + std::chrono::milliseconds(static_cast<std::int64_t>(*patience));
+  told.caller_leaves_at = net::now() + std::chrono::milliseconds(static_cast<std::int64_t>(*patience));
   const auto& names = setup_.class_names;
   const auto name = std::find(names.begin(), names.end(), text_field(message, "class"));
   request.class_known = name != names.end();
   told.call_class = static_cast<std::uint32_t>(name - names.begin());
   const Json* again = message.find("again");
-  told.cut_before = again != nullptr && again->boolean().value_or(false);
+  told.dropped_before = again != nullptr && again->boolean().value_or(false);
   request.description = *description->string();
   request.side = this;
   {
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -82,12 +82,12 @@
       if (left_ms < told_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
       endpoint.releases.heard(set_up.call);  // of an attempt before; told again, it would end this one
-      core_.attempt_left();
+      core_.attempt_transmitted();
       return true;
     }
     endpoint.attempts.erase(found);
   }
-  core_.send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+  core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
   return false;
 }
 
@@ -111,7 +111,7 @@
   };
   if (connection && connection->send(message, leaves)) return;
   endpoint.attempts.erase(set_up.call);
-  core_.send_failed(set_up.call, set_up.attempt, Ending::connect_failed);
+  core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::connect_failed);
 }
 
 void Front::give_up(ServerId office, CallId call, std::uint32_t /*attempt*/) {
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -18,7 +18,7 @@
 
 class Connection;
 
-class Front final : public core::CallerSide, public core::OfficeSide {
+class Front final : public core::CallerFrontend, public core::OfficeBackend {
  public:
   struct Setup {
     std::vector<std::string> class_names;
@@ -47,7 +47,7 @@
   void start(const core::SetUp& set_up) override;
   void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
 
  private:
   friend class Connection;
--- a/src/ws/registrations.cpp
+++ b/src/ws/registrations.cpp
@@ -30,7 +30,7 @@
     from->send(error_message("bad-message"));
     return;
   }
-  if (list_.named_elsewhere(core::Source::registered, *id)) {
+  if (list_.listed_by_other_source(core::Source::registered, *id)) {
     from->send(error_message("duplicate-id"));
     return;
   }
@@ -103,7 +103,8 @@
   }
   list_.told(core::Source::registered, false, {entry});
   for (const auto& [call, attempt] : attempts)
-    core_.send_failed(call, attempt.number, attempt.left ? Ending::reset : Ending::not_sent);
+    core_.attempt_failed(call, attempt.number,
+                         attempt.left ? AttemptOutcome::reset : AttemptOutcome::not_sent);
   // No connection owns a standing call; but an endpoint that stays away holds none any more.
   core_.at(net::now() + kAway, [this, entry] { forget_if_away(entry); });
 }
--- a/tests/attempt_rules_test.cpp
+++ b/tests/attempt_rules_test.cpp
@@ -38,7 +38,7 @@
   g.list({ready(10, 0), ready(11, 1)});
   g.arrive(1);
   g.pass(100ms);
-  g.ends(1, Ending::reset);
+  g.ends(1, AttemptOutcome::reset);
   g.pass(100ms);
   g.leaves(1);
   g.pass(3s);
@@ -47,7 +47,8 @@
 }
 
 TEST(CallerLeft, NoAttemptFollowsTheEndOfOneThatWasOut) {
-  for (const Ending ending : {Ending::full, Ending::connect_failed, Ending::timeout, Ending::reset}) {
+  for (const AttemptOutcome ending : {AttemptOutcome::full, AttemptOutcome::connect_failed,
+                                      AttemptOutcome::timeout, AttemptOutcome::reset}) {
     Gateway g;
     g.list({ready(10, 0), ready(11, 1)});
     g.arrive(1);
@@ -67,7 +68,7 @@
     g.list({ready(10, 0), ready(11, 1)});
     g.arrive(1, 0, 0, stays);
     g.pass(100ms);
-    g.ends(1, Ending::timeout);
+    g.ends(1, AttemptOutcome::timeout);
     g.pass(5s);
     EXPECT_EQ(g.sent_count(1), 1U) << stays.count();
     EXPECT_EQ(final_answers(g, 1), 1U) << stays.count();
@@ -88,7 +89,7 @@
     if (g.sent_count(1) == ended) continue;
     ++ended;
     g.pass(20ms);
-    g.ends(1, Ending::reset);
+    g.ends(1, AttemptOutcome::reset);
   }
   EXPECT_EQ(g.sent_count(1), 5U);
   EXPECT_EQ(final_answers(g, 1), 1U);
@@ -96,7 +97,7 @@
 
 struct Guard {
   Duration length;
-  Ending ending;
+  AttemptOutcome ending;
 };
 class ReleaseGuards : public ::testing::TestWithParam<Guard> {};
 
@@ -116,12 +117,13 @@
   EXPECT_LE(g.now - ended, guard + 100ms);  // the next look at what waits
 }
 
-INSTANTIATE_TEST_SUITE_P(Lengths, ReleaseGuards,
-                         ::testing::Values(Guard{0ms, Ending::timeout}, Guard{0ms, Ending::reset},
-                                           Guard{0ms, Ending::cancelled}, Guard{300ms, Ending::timeout},
-                                           Guard{300ms, Ending::reset}, Guard{300ms, Ending::cancelled},
-                                           Guard{5s, Ending::timeout}, Guard{5s, Ending::reset},
-                                           Guard{5s, Ending::cancelled}));
+INSTANTIATE_TEST_SUITE_P(
+    Lengths, ReleaseGuards,
+    ::testing::Values(Guard{0ms, AttemptOutcome::timeout}, Guard{0ms, AttemptOutcome::reset},
+                      Guard{0ms, AttemptOutcome::cancelled}, Guard{300ms, AttemptOutcome::timeout},
+                      Guard{300ms, AttemptOutcome::reset}, Guard{300ms, AttemptOutcome::cancelled},
+                      Guard{5s, AttemptOutcome::timeout}, Guard{5s, AttemptOutcome::reset},
+                      Guard{5s, AttemptOutcome::cancelled}));
 
 }  // namespace
 }  // namespace reeltack::test
--- a/tests/clocks/core_steps_test.cpp
+++ b/tests/clocks/core_steps_test.cpp
@@ -30,7 +30,7 @@
 constexpr Duration kTurn = 5ms;  // of the virtual clock
 
 // Both sides of the core. Notes what it does, and when.
-class Recorder final : public core::OfficeSide, public core::CallerSide {
+class Recorder final : public core::OfficeBackend, public core::CallerFrontend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
   void start(const core::SetUp& set_up) override {
@@ -41,7 +41,9 @@
     note("give up", call, attempt);
   }
   void release(ServerId /*endpoint*/, CallId call) override { note("release", call); }
-  void keep(ServerId /*endpoint*/, bool calls_stand) override { note("keep", CallId{}, calls_stand); }
+  void keep(ServerId /*endpoint*/, bool calls_established) override {
+    note("keep", CallId{}, calls_established);
+  }
   bool stands(CallId call, const std::string& /*description*/) override {
     note("stands", call);
     return true;
@@ -110,7 +112,7 @@
     pass(100ms);
     reach(Stage::sent);
     pass(200ms);
-    core_.send_failed(kAnswered, 0, Ending::reset);
+    core_.attempt_failed(kAnswered, 0, AttemptOutcome::reset);
     settle();
     reach(Stage::awaiting_release);
     pass(500ms);
@@ -147,8 +149,8 @@
   void request(CallId call, Duration patience) {
     core::Request request;
     request.told.call = call;
-    request.told.number = NumberCalled{7};
-    request.told.caller_leaves = base::now() + patience;
+    request.told.number = CalledNumber{7};
+    request.told.caller_leaves_at = base::now() + patience;
     request.side = &recorder_;
     core_.request(std::move(request));
     settle();
@@ -204,11 +206,11 @@
   const auto refused = [&r](CallId call, core::Why why) {
     return r.when("refused 0", call, static_cast<std::uint32_t>(why));
   };
-  EXPECT_EQ(refused(kForgotten, core::Why::tried_in_vain), 4s);
+  EXPECT_EQ(refused(kForgotten, core::Why::attempts_failed), 4s);
   EXPECT_GE(r.when("start", kLate), 5100ms);
   EXPECT_GE(refused(kLate, core::Why::deadline_passed), 5790ms);
   EXPECT_LE(refused(kLate, core::Why::deadline_passed), 5800ms);
-  EXPECT_EQ(refused(kDrained, core::Why::tried_in_vain), 6650ms);
+  EXPECT_EQ(refused(kDrained, core::Why::attempts_failed), 6650ms);
 }
 
 TEST_F(CoreSteps, NoStageNoticesAStepOfTheWallClock) {
--- a/tests/clocks/listed_starts_test.cpp
+++ b/tests/clocks/listed_starts_test.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kSteps[] = {-1h, -5s, 5s, 1h};
 
 // What the senders' side is told, which is before the core hears of it.
-class Told final : public OfficeSide {
+class Told final : public OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<OfficeEntry>& offices) override {
     for (const OfficeEntry& o : offices) entries[o.entry.server] = o.entry;
@@ -20,7 +20,7 @@
   void start(const SetUp& /*set_up*/) override {}
   void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
   std::map<ServerId, ServerEntry> entries;
 };
 
@@ -71,7 +71,7 @@
     list.followed();
     list.told(Source::platform, false, {endpoint(1, 1s)});
     EXPECT_GE(age(1), 0s);
-    EXPECT_LE(age(1), clocks::kToldWithin);
+    EXPECT_LE(age(1), clocks::kMaxDiscoveryDelay);
   }
 }
 
--- a/tests/clocks/start_times_bounds_test.cpp
+++ b/tests/clocks/start_times_bounds_test.cpp
@@ -24,7 +24,8 @@
     age(times, entry(1, start_of_age(50h + 60s)), wrong,
         From::endpoint);  // told again as its connection ends
     now_ += 2s;
-    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong, From::endpoint), 2s + kToldWithin) << wrong / 1s;
+    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong, From::endpoint), 2s + kMaxDiscoveryDelay)
+        << wrong / 1s;
   }
 }
 
@@ -50,29 +51,31 @@
   const StartId first = start_of_age(10s);
   age(times, entry(1, first));
   std::vector<StartId> starts;
-  for (std::size_t i = 0; i < kMostStarts; ++i) {
+  for (std::size_t i = 0; i < kMaxStartsPerEndpoint; ++i) {
     now_ += 60s;
     times.followed(now_);
     starts.push_back(start_of_age(3s));
     EXPECT_EQ(age(times, entry(1, starts.back())), 3s);
   }
-  const auto passed = [](std::size_t i) { return std::chrono::seconds(60 * (kMostStarts - 1 - i)); };
+  const auto passed = [](std::size_t i) {
+    return std::chrono::seconds(60 * (kMaxStartsPerEndpoint - 1 - i));
+  };
   for (std::size_t i = 0; i < starts.size(); ++i)
     EXPECT_EQ(age(times, entry(1, starts[i]), -1h), 3s + passed(i)) << i;
   // Forgotten, and aged anew: by the wall clock and its bound, which the youngest has set.
-  EXPECT_EQ(age(times, entry(1, first), -1h), 10s + 60s * kMostStarts - 3s);
+  EXPECT_EQ(age(times, entry(1, first), -1h), 10s + 60s * kMaxStartsPerEndpoint - 3s);
 }
 
 // Which endpoint is forgotten: the one that started the longest ago, which is found to be old again.
 TEST_F(Clocks, ForgetsTheEndpointThatStartedTheLongestAgo) {
   StartTimes times(reading());
   std::vector<ServerEntry> list;
-  for (std::uint32_t id = 0; id < kMostEndpoints; ++id)
+  for (std::uint32_t id = 0; id < kMaxEndpoints; ++id)
     list.push_back(entry(id, start_of_age(id == 7 ? 9h : 1h + std::chrono::seconds(id))));
   fill(times, list);
-  age(times, entry(kMostEndpoints, start_of_age(30min)), 0s, From::endpoint);
-  EXPECT_EQ(times.endpoints(), kMostEndpoints);
-  const ServerEntry latest = entry(kMostEndpoints, start_of_age(30min));
+  age(times, entry(kMaxEndpoints, start_of_age(30min)), 0s, From::endpoint);
+  EXPECT_EQ(times.endpoints(), kMaxEndpoints);
+  const ServerEntry latest = entry(kMaxEndpoints, start_of_age(30min));
   EXPECT_EQ(age(times, latest, -10min, From::endpoint), 30min) << "kept, so that no step moves it";
   for (const std::uint32_t id : {0U, 1U, 8U, 100U})
     EXPECT_EQ(age(times, list[id], 3600s), 1h + std::chrono::seconds(id)) << "kept as well";
@@ -82,11 +85,11 @@
 TEST_F(Clocks, KeepsABoundedNumberOfEndpoints) {
   StartTimes times(reading());
   const StartId last = start_of_age(1s);
-  for (std::uint32_t id = 0; id < kMostEndpoints + 100; ++id) {
+  for (std::uint32_t id = 0; id < kMaxEndpoints + 100; ++id) {
     times.followed(now_);
-    age(times, entry(id, StartId{static_cast<std::uint64_t>(last) - kMostEndpoints - 100 + id}));
+    age(times, entry(id, StartId{static_cast<std::uint64_t>(last) - kMaxEndpoints - 100 + id}));
   }
-  EXPECT_EQ(times.endpoints(), kMostEndpoints);
+  EXPECT_EQ(times.endpoints(), kMaxEndpoints);
 }
 
 }  // namespace
--- a/tests/clocks/start_times_test.cpp
+++ b/tests/clocks/start_times_test.cpp
@@ -83,8 +83,8 @@
     age(times, entry(1, start_of_age(50h)), wrong);
     now_ += 60s;
     times.followed(now_);
-    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong), kToldWithin) << wrong / 1s;
-    EXPECT_LE(age(times, entry(2, start_of_age(1s)), wrong), kToldWithin) << "of one not known before";
+    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << wrong / 1s;
+    EXPECT_LE(age(times, entry(2, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << "of one not known before";
   }
 }
 
@@ -94,7 +94,7 @@
   age(times, entry(1, start_of_age(50h)), 1h);
   times.followed(now_);
   now_ += 100s;
-  EXPECT_EQ(age(times, entry(1, start_of_age(90s)), 1h), 100s + kToldWithin);
+  EXPECT_EQ(age(times, entry(1, start_of_age(90s)), 1h), 100s + kMaxDiscoveryDelay);
 }
 
 // What is older than the start known is no restart: its age is the wall clock's.
@@ -131,7 +131,7 @@
     StartTimes times(reading(wrong));
     age(times, entry(1, start_of_age(50h)), wrong);
     now_ += 100s;
-    const Duration most = 100s + kToldWithin;
+    const Duration most = 100s + kMaxDiscoveryDelay;
     EXPECT_LE(age(times, entry(1, start_of_age(90s)), wrong), most) << "a restart";
     EXPECT_LE(age(times, entry(2, start_of_age(80s)), wrong), most) << "a new endpoint";
     EXPECT_LE(age(times, entry(3, start_of_age(80s)), wrong, From::controllers), most);
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -16,8 +16,8 @@
 
   ts::ActionSink actions;
   const ts::Time now{1s};  // the gateway's own clock
-  controller.on(now, ts::ListTold{true, {{.server = ts::ServerId{7}, .place = 0}}}, actions);
-  controller.on(now, ts::CallArrived{.call = ts::CallId{1}, .caller_leaves = now + 3s}, actions);
+  controller.on(now, ts::ServerListReceived{true, {{.server = ts::ServerId{7}, .place = 0}}}, actions);
+  controller.on(now, ts::CallArrived{.call = ts::CallId{1}, .caller_leaves_at = now + 3s}, actions);
 
   for (const ts::Action& action : actions) {
     if (const auto* send = std::get_if<ts::SendSetUp>(&action)) {
--- a/tests/core/release_guard_test.cpp
+++ b/tests/core/release_guard_test.cpp
@@ -18,12 +18,12 @@
 
 // Endpoints that fail the first attempt of a call. Giving it up holds the core's thread, as a busy machine
 // may.
-class SlowlyReleased final : public core::OfficeSide {
+class SlowlyReleased final : public core::OfficeBackend {
  public:
   explicit SlowlyReleased(core::Core& core) : core_(core) {}
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& set_up) override {
-    if (set_up.attempt == 0) return core_.send_failed(set_up.call, set_up.attempt, Ending::reset);
+    if (set_up.attempt == 0) return core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::reset);
     const std::lock_guard hold(lock_);
     sent_again_ = Steady::now();
     changed_.notify_all();
@@ -34,7 +34,7 @@
     given_up_ = Steady::now();
   }
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
 
   // From the release of the first attempt to the second attempt; none: it was not made.
   std::optional<Steady::duration> await_gap() {
@@ -52,7 +52,7 @@
   Steady::time_point sent_again_{};
 };
 
-class AnyCaller final : public core::CallerSide {
+class AnyCaller final : public core::CallerFrontend {
  public:
   bool stands(CallId /*call*/, const std::string& /*description*/) override { return true; }
   void refused(CallId /*call*/, core::Why /*why*/, Duration /*later*/) override {}
@@ -76,8 +76,8 @@
   core.told(true, list);
   core::Request request;
   request.told.call = CallId{7};
-  request.told.number = NumberCalled{7};
-  request.told.caller_leaves = base::now() + 20s;
+  request.told.number = CalledNumber{7};
+  request.told.caller_leaves_at = base::now() + 20s;
   request.side = &caller;
   core.request(std::move(request));
   const auto gap = endpoints.await_gap();
--- a/tests/crossings/caller_close_test.cpp
+++ b/tests/crossings/caller_close_test.cpp
@@ -119,7 +119,7 @@
   run_sip(usual_settings(), {kFirst, kSecond});
   SipCaller& caller = connect();
   occupy_endpoint(caller, 1);
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   leave(caller, 1);
   ASSERT_TRUE(await_left(caller));
--- a/tests/crossings/caller_releases_test.cpp
+++ b/tests/crossings/caller_releases_test.cpp
@@ -19,14 +19,14 @@
 constexpr CallId kCall{0x71};
 
 // Each set-up is answered at once.
-class AnsweringEndpoint final : public core::OfficeSide {
+class AnsweringEndpoint final : public core::OfficeBackend {
  public:
   explicit AnsweringEndpoint(std::unique_ptr<core::Core>& core) : core_(core) {}
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& set_up) override { core_->answered(set_up.office, set_up.call, "sdp"); }
   void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
 
  private:
   std::unique_ptr<core::Core>& core_;
--- a/tests/crossings/core_crossings_test.cpp
+++ b/tests/crossings/core_crossings_test.cpp
@@ -162,7 +162,7 @@
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));
   const ServerId broke = endpoints_.start_of(0).office;
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   request(kNext, 8s);
   ASSERT_TRUE(endpoints_.await_starts(2));
--- a/tests/crossings/core_rig.h
+++ b/tests/crossings/core_rig.h
@@ -50,7 +50,7 @@
 };
 
 // The endpoints: notes what the core asks of them, and can hold the core's thread inside an attempt's start.
-class FakeEndpoints final : public core::OfficeSide {
+class FakeEndpoints final : public core::OfficeBackend {
  public:
   struct Ended {
     ServerId endpoint;
@@ -67,7 +67,7 @@
   void release(ServerId endpoint, CallId call) override {
     progress_.change([&] { released_.push_back({endpoint, call}); });
   }
-  void keep(ServerId /*endpoint*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
 
   void hold(bool on) {
     progress_.change([&] { held_ = on; });
@@ -107,7 +107,7 @@
 };
 
 // The callers: notes each call's answers.
-class FakeCallers final : public core::CallerSide {
+class FakeCallers final : public core::CallerFrontend {
  public:
   struct Answer {
     CallId call;
@@ -203,8 +203,8 @@
   void request(CallId call, Duration left) {
     core::Request request;
     request.told.call = call;
-    request.told.number = NumberCalled{static_cast<std::uint64_t>(call)};
-    request.told.caller_leaves = base::now() + left;
+    request.told.number = CalledNumber{static_cast<std::uint64_t>(call)};
+    request.told.caller_leaves_at = base::now() + left;
     request.description = "d";
     request.side = &callers_;
     core_->request(std::move(request));
--- a/tests/crossings/discovery_world.h
+++ b/tests/crossings/discovery_world.h
@@ -21,7 +21,7 @@
 inline constexpr ServerId kEndpoint{1};
 
 // The endpoints' side of the core: the state in which each was last notified.
-class NotifiedStates final : public core::OfficeSide {
+class NotifiedStates final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& offices) override {
     const std::lock_guard hold(lock_);
@@ -31,7 +31,7 @@
   void start(const core::SetUp& /*set_up*/) override {}
   void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
   bool await(ServerId endpoint, ServerState state) {
     std::unique_lock hold(lock_);
     return changed_.wait_for(hold, 20s, [&] {
@@ -125,7 +125,7 @@
            ::recv(connection.get(), chunk, sizeof chunk, MSG_DONTWAIT) <= 0;
   }
 
-  void begin(const FakeDiscovery& discovery, std::uint64_t last, membership::WatchSettings settings) {
+  void begin(const FakeDiscovery& discovery, std::uint64_t last, membership::WatchBackoffSettings settings) {
     watch_ = std::make_unique<platform::Bulletin>(*list_, discovery.address, last, settings);
   }
 
--- a/tests/crossings/endpoint_answers_test.cpp
+++ b/tests/crossings/endpoint_answers_test.cpp
@@ -133,7 +133,7 @@
   const net::Fd connection = connected(endpoint);
   request(kCall);
   ASSERT_TRUE(is(line(connection), "START", kCall));
-  core_->send_failed(kCall, 0, Ending::timeout);  // as its timer would
+  core_->attempt_failed(kCall, 0, AttemptOutcome::timeout);  // as its timer would
   ASSERT_TRUE(is(line(connection), "FINISH", kCall));
   ASSERT_TRUE(is(line(connection), "START", kCall)) << "sent again after the release guard";
   say(connection, end_line(kCall, 34));
--- a/tests/crossings/endpoint_world.h
+++ b/tests/crossings/endpoint_world.h
@@ -36,7 +36,7 @@
 }
 
 // The core's callers: each event is kept, in order.
-class FakeCallers final : public core::CallerSide {
+class FakeCallers final : public core::CallerFrontend {
  public:
   bool stands(CallId call, const std::string& description) override {
     return note("stands " + description, call), true;
@@ -76,7 +76,7 @@
 };
 
 // The core's endpoints: each action goes to the link of its endpoint.
-class Links final : public core::OfficeSide {
+class Links final : public core::OfficeBackend {
  public:
   explicit Links(core::Core*& core) : core_(core) {}
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& offices) override {
@@ -84,7 +84,7 @@
   }
   void start(const core::SetUp& set_up) override {
     if (!of(set_up.office).start(set_up, "voice"))
-      core_->send_failed(set_up.call, set_up.attempt, Ending::not_sent);
+      core_->attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
     const std::lock_guard hold(lock_);
     started_.emplace_back(set_up.office, set_up.call);
     changed_.notify_all();
@@ -93,7 +93,7 @@
     of(office).give_up(call, attempt);
   }
   void release(ServerId office, CallId call) override { of(office).release(call); }
-  void keep(ServerId office, bool calls_stand) override { of(office).keep(calls_stand); }
+  void keep(ServerId office, bool calls_established) override { of(office).keep(calls_established); }
 
   // The core has handed the call to the link there, which has written it if it could.
   bool await_start(ServerId office, CallId call) {
@@ -211,7 +211,7 @@
     core::Request request;
     request.told.call_class = call_class;
     request.told.call = call;
-    request.told.caller_leaves = net::now() + patience;
+    request.told.caller_leaves_at = net::now() + patience;
     request.description = "offer";
     request.side = &callers_;
     core_->request(std::move(request));
--- a/tests/crossings/last_releases_test.cpp
+++ b/tests/crossings/last_releases_test.cpp
@@ -127,10 +127,10 @@
   base::Thread ending([this, at] {
     shut_down(*core_, *offices_, *front_, nullptr,
               {.close_idle = at,
-               .refuse_rest = at + 60s,
-               .offices_over = at + 60s,
-               .offices_close = 60s,
-               .connections_over = at + 60s});
+               .refuse_remaining_at = at + 60s,
+               .offices_deadline = at + 60s,
+               .offices_close_timeout = 60s,
+               .connections_deadline = at + 60s});
   });
   EXPECT_NE(read_until(endpoint_, kToTheEnd).find("|end"), std::string::npos);
   net::pause_until(net::now() + 300ms);  // in the wrong order the caller would be closed by now
--- a/tests/crossings/retry_test.cpp
+++ b/tests/crossings/retry_test.cpp
@@ -11,12 +11,12 @@
 class RetryCrossings : public CoreRig {
  protected:
   // The call's first attempt has ended as `ending`; returns when the core knew of it.
-  Time first_attempt_ended(Duration left, Ending ending) {
+  Time first_attempt_ended(Duration left, AttemptOutcome ending) {
     run(usual_settings(), {kFirst, kSecond});
     request(kCall, left);
     EXPECT_TRUE(endpoints_.await_starts(1));
     const Time at = base::now();
-    core_->send_failed(kCall, 0, ending);
+    core_->attempt_failed(kCall, 0, ending);
     settle(*core_);
     EXPECT_EQ(endpoints_.starts(), 1U);
     return at;
@@ -32,14 +32,14 @@
 
 // What the others of this file leave out: without an event in between the call goes again, after the wait.
 TEST_F(RetryCrossings, UndisturbedCallIsSentAgainAfterTheWait) {
-  const Time ended = first_attempt_ended(8s, Ending::reset);
+  const Time ended = first_attempt_ended(8s, AttemptOutcome::reset);
   ASSERT_TRUE(endpoints_.await_starts(2));
   EXPECT_GE(base::now(), ended + kGuard);
   EXPECT_EQ(endpoints_.start_of(1).attempt, 1U);
   EXPECT_EQ(endpoints_.given_up(kCall), 1U);
 }
 
-class RetryAfter : public RetryCrossings, public ::testing::WithParamInterface<Ending> {};
+class RetryAfter : public RetryCrossings, public ::testing::WithParamInterface<AttemptOutcome> {};
 TEST_P(RetryAfter, CallerThatLeavesDuringTheWaitIsNotRetried) {
   first_attempt_ended(8s, GetParam());
   core_->give_up(kCall, callers_);
@@ -48,30 +48,31 @@
   EXPECT_EQ(endpoints_.given_up(kCall), 1U);  // the attempt, once, when it ended
 }
 INSTANTIATE_TEST_SUITE_P(Each, RetryAfter,
-                         ::testing::Values(Ending::reset, Ending::timeout, Ending::cancelled));
+                         ::testing::Values(AttemptOutcome::reset, AttemptOutcome::timeout,
+                                           AttemptOutcome::cancelled));
 
 TEST_F(RetryCrossings, CallerGoneUnnoticedAtTheRetryIsNotRetried) {
-  first_attempt_ended(8s, Ending::reset);
+  first_attempt_ended(8s, AttemptOutcome::reset);
   callers_.waiting_ = false;
   EXPECT_EQ(callers_.await_answer(kCall).why, Why::given_up);
   expect_no_retry();
 }
 
 TEST_F(RetryCrossings, DeadlineDuringTheWaitIsTheOneAnswer) {
-  first_attempt_ended(200ms, Ending::reset);  // no retry can be in time
+  first_attempt_ended(200ms, AttemptOutcome::reset);  // no retry can be in time
   EXPECT_FALSE(callers_.await_answer(kCall).stands);
   expect_no_retry();
 }
 
 TEST_F(RetryCrossings, AllEndpointsGoDuringTheWait) {
-  first_attempt_ended(1200ms, Ending::reset);
+  first_attempt_ended(1200ms, AttemptOutcome::reset);
   list({kFirst, kSecond}, ServerState::gone);
   EXPECT_FALSE(callers_.await_answer(kCall).stands);
   expect_no_retry();
 }
 
 TEST_F(RetryCrossings, EndpointThatDrainsBetweenChoiceAndWriteGetsNoRetry) {
-  first_attempt_ended(1200ms, Ending::reset);
+  first_attempt_ended(1200ms, AttemptOutcome::reset);
   list({kFirst, kSecond}, ServerState::draining);
   EXPECT_FALSE(callers_.await_answer(kCall).stands);
   expect_no_retry();
@@ -79,7 +80,7 @@
 
 // A late answer to the attempt before is released where it stands, and does not answer for the retry.
 TEST_F(RetryCrossings, LateAnswerOfTheAttemptBeforeDuringTheRetryIsReleased) {
-  first_attempt_ended(8s, Ending::reset);
+  first_attempt_ended(8s, AttemptOutcome::reset);
   const ServerId before = endpoints_.start_of(0).office;
   list({before}, ServerState::draining);  // the retry goes elsewhere: one endpoint's two attempts look alike
   ASSERT_TRUE(endpoints_.await_starts(2));
@@ -104,11 +105,11 @@
   const ServerId full = endpoints_.start_of(0).office;
   constexpr int kFull = 34;
   core_->ended({full, kCall, kFull, "blocked", {}});
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   endpoints_.hold(false);
   ASSERT_TRUE(endpoints_.await_starts(2));
   EXPECT_NE(endpoints_.start_of(1).office, full);
-  core_->send_failed(kCall, 0, Ending::reset);  // late: it is not of the attempt that is out now
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);  // late: it is not of the attempt that is out now
   core_->answered(endpoints_.start_of(1).office, kCall, "d");
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   settle(*core_);
--- a/tests/crossings/websocket_drop_test.cpp
+++ b/tests/crossings/websocket_drop_test.cpp
@@ -83,7 +83,7 @@
   run_clients(usual_settings(), {kFirst, kSecond});
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   drop_noticed(client);
   ASSERT_TRUE(endpoints_.await_starts(2));
@@ -95,7 +95,7 @@
   run_clients(usual_settings(), {kFirst, kSecond});
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   endpoints_.hold(true);
   ASSERT_TRUE(endpoints_.await_starts(2));
--- a/tests/crossings/websocket_endpoint_test.cpp
+++ b/tests/crossings/websocket_endpoint_test.cpp
@@ -56,7 +56,7 @@
   WebSocketPeer& first = connect_endpoint(kFirst);
   request(kCall, 8s);
   expect_set_up(first, kCall);
-  core_->send_failed(kCall, 0, Ending::timeout);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::timeout);
   settle(*core_);
   expect_message(first, {"give-up", id_text(kCall)});
   first.send(about("started", kCall, R"(,"description":"late")"));
--- a/tests/crossings/websocket_give_up_test.cpp
+++ b/tests/crossings/websocket_give_up_test.cpp
@@ -62,7 +62,7 @@
   run_clients(usual_settings(), {kFirst, kSecond});
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   give_up(client, kCall);
   settle(*core_);
@@ -76,7 +76,7 @@
   run_clients(usual_settings(), {kFirst, kSecond});
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
-  core_->send_failed(kCall, 0, Ending::reset);
+  core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   settle(*core_);
   endpoints_.hold(true);
   ASSERT_TRUE(endpoints_.await_starts(2));  // the core is held as it hands the retry over
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -14,7 +14,7 @@
   EXPECT_LT(give_up, g.now + 1s);
   EXPECT_GE(give_up, g.now + 160ms);
   g.pass(give_up - g.now);
-  g.ends(100, Ending::timeout);
+  g.ends(100, AttemptOutcome::timeout);
   g.pass(700ms);
   EXPECT_EQ(g.sent_count(100), 2U);
 }
@@ -32,7 +32,7 @@
     ASSERT_TRUE(g.book()[CallId{id}].out) << id;
     if (n >= 20) given.push_back(g.sends.back().give_up - g.now);
     g.pass(n < 20 || n == 23 ? 30ms : given.back());
-    n < 20 || n == 23 ? g.stands(id) : g.ends(id, Ending::timeout);
+    n < 20 || n == 23 ? g.stands(id) : g.ends(id, AttemptOutcome::timeout);
     if (n >= 20) g.leaves(id);
   }
   EXPECT_LE(given[0], 250ms);             // answers came within 30 ms, for an aim of 2 s
@@ -47,7 +47,7 @@
   warm_up(g, 0, 1, 80ms);
   g.arrive(100);
   g.pass(800ms);
-  g.ends(100, Ending::timeout);
+  g.ends(100, AttemptOutcome::timeout);
   g.pass(110ms);
   for (std::uint64_t id = 200; id < 212; ++id) g.arrive(id);  // drains in about 1 s at 80 ms each
   EXPECT_TRUE(g.refused.empty());
@@ -74,7 +74,7 @@
     g.arrive(id);
     if (g.book()[CallId{id}].out || (!g.sends.empty() && g.book()[g.sends.back().call].out)) {
       gaps.push_back(g.now - ended);
-      g.ends(static_cast<std::uint64_t>(g.sends.back().call), Ending::connect_failed);
+      g.ends(static_cast<std::uint64_t>(g.sends.back().call), AttemptOutcome::connect_failed);
       ended = g.now;
     }
     g.pass(50ms);
@@ -98,7 +98,7 @@
       if (!e.out) continue;
       const bool good = g.sends.size() % 6 == 0;
       good ? g.stands(static_cast<std::uint64_t>(call))
-           : g.ends(static_cast<std::uint64_t>(call), Ending::reset);
+           : g.ends(static_cast<std::uint64_t>(call), AttemptOutcome::reset);
       stood += good ? 1 : 0;
       break;
     }
--- a/tests/fleet/controllers_file_test.cpp
+++ b/tests/fleet/controllers_file_test.cpp
@@ -48,10 +48,10 @@
   EXPECT_EQ(c.seeds.size(), 2U);
   EXPECT_EQ(base::to_text(c.advertise), "127.0.0.1:7946");
   EXPECT_EQ(c.via.at("n2").port, 9001);
-  EXPECT_EQ(c.turn.recovery.asking_most, 500ms);
+  EXPECT_EQ(c.turn.recovery.max_asking, 500ms);
   EXPECT_EQ(c.turn.recovery.ramp, Duration{15s});
   EXPECT_DOUBLE_EQ(c.turn.recovery.cold_from, 0.33);
-  EXPECT_EQ(c.turn.recovery.leases.least_size, 12U);
+  EXPECT_EQ(c.turn.recovery.leases.min_size, 12U);
   EXPECT_EQ(c.turn.recovery.class_worth.size(), 1U);
 }
 
--- a/tests/fleet/drift_turn_test.cpp
+++ b/tests/fleet/drift_turn_test.cpp
@@ -13,36 +13,36 @@
 class DriftTurn : public ::testing::Test {
  protected:
   explicit DriftTurn(std::size_t planned = 12) {
-    TurnSettings settings;
-    settings.recovery.leases.least_size = planned;
+    CoordinatorSettings settings;
+    settings.recovery.leases.min_size = planned;
     settings.drift.name = "n0";
     members::Self self;
     self.id = MemberId{1};
     self.incarnation = 1;
     self.name = "n0";
     turn = std::make_unique<Turn>(settings, self, std::span<const Endpoint>{}, 1);
-    TurnActions actions;
+    CoordinatorActions actions;
     turn->begin(now, std::nullopt, {}, actions);
     say(drift::Restored{});
     rules::Tree tree;
     EXPECT_TRUE(tree.put("module.attempts", "5"));
-    say(drift::ReadBack{tree});
+    say(drift::RulesReadBack{tree});
     run(2s);
   }
   void say(const drift::Event& event) {
-    TurnActions actions;
-    turn->on(now, RulesSaid{event}, actions);
+    CoordinatorActions actions;
+    turn->on(now, DriftEvent{event}, actions);
     take(actions);
   }
   void run(Duration lasts) {
     for (const Time end = now + lasts; now < end; now += 100ms) {
-      TurnActions actions;
+      CoordinatorActions actions;
       turn->tick(now, actions);
       take(actions);
     }
   }
-  void take(const TurnActions& actions) {
-    for (const TurnAction& action : actions) {
+  void take(const CoordinatorActions& actions) {
+    for (const CoordinatorAction& action : actions) {
       const auto* store = std::get_if<Store>(&action);
       if (store != nullptr && store->vote) votes.push_back(*store->vote);
       if (const auto* log = std::get_if<Log>(&action)) logged += log->event + " " + log->text + "\n";
@@ -62,7 +62,7 @@
 TEST_F(DriftTurn, OneOfTwelveApprovesNothingHoweverSmallTheFleetLooks) {
   say(drift::Offered{version(1)});
   ASSERT_EQ(votes.size(), 1U);
-  say(drift::VoteKept{votes[0]});
+  say(drift::VotePersisted{votes[0]});
   run(60s);
   EXPECT_EQ(turn->recovery().agreed(), 1U);
   EXPECT_FALSE(turn->drift().approved());
@@ -74,7 +74,7 @@
   run(5s);
   EXPECT_FALSE(turn->drift().approved()) << "the vote is not kept yet";
   ASSERT_EQ(votes.size(), 1U);
-  say(drift::VoteKept{votes[0]});
+  say(drift::VotePersisted{votes[0]});
   EXPECT_EQ(turn->drift().approved(), version(1));
   EXPECT_NE(logged.find("rules epoch=1"), std::string::npos) << logged;
 }
--- a/tests/fleet/drift_words_test.cpp
+++ b/tests/fleet/drift_words_test.cpp
@@ -23,10 +23,10 @@
 }
 
 TEST(DriftWords, AMembersOwnValueGoesBeforeItsZones) {
-  EXPECT_EQ(wanted_of(version(), "n1", "oeste").at("class.voice.aim"), "2000000000ns");
-  EXPECT_EQ(wanted_of(version(), "n1", "este").at("class.voice.aim"), "3000000000ns");
-  EXPECT_EQ(wanted_of(version(), "n3", "este").at("class.voice.aim"), "1ns");
-  EXPECT_EQ(wanted_of(version(), "n3", "este").at("module.attempts"), "4");
+  EXPECT_EQ(required_rules(version(), "n1", "oeste").at("class.voice.aim"), "2000000000ns");
+  EXPECT_EQ(required_rules(version(), "n1", "este").at("class.voice.aim"), "3000000000ns");
+  EXPECT_EQ(required_rules(version(), "n3", "este").at("class.voice.aim"), "1ns");
+  EXPECT_EQ(required_rules(version(), "n3", "este").at("module.attempts"), "4");
 }
 
 TEST(DriftWords, TextCutAtAnyByteOrWithALineOutOfPlaceIsNoVersion) {
@@ -42,7 +42,7 @@
         "1 7\n zone:x a 1\n", "1 7\nzone: a 1\n", "1 7\nzone:x a 1\nb 1\n", "1 7\nname:x a 1\nzone:x a 1\n",
         "1 7\nplace:x a 1\n", "1 7\nzone:b a 1\nzone:a a 1\n", "1 7\n\n", "1 7\nA 1\n", ""})
     EXPECT_FALSE(read_version(wrong)) << wrong;
-  EXPECT_FALSE(read_version("1 7\n" + std::string(kMostVersionText, 'a') + "\n"));
+  EXPECT_FALSE(read_version("1 7\n" + std::string(kMaxVersionBytes, 'a') + "\n"));
 }
 
 TEST(DriftWords, FactsComeBackAsTheyWentAndOthersAreNothing) {
--- a/tests/fleet/drift_world.h
+++ b/tests/fleet/drift_world.h
@@ -59,16 +59,16 @@
     tell(i, restored);
     rules::Rules running = one.file;
     if (const auto& approved = one.drift->approved())
-      for (const auto& [key, value] : wanted_of(*approved, one.name, one.zone))
+      for (const auto& [key, value] : required_rules(*approved, one.name, one.zone))
         running.insert_or_assign(key, value);
-    tell(i, ReadBack{tree_of(running)});
+    tell(i, RulesReadBack{tree_of(running)});
   }
   void stop(std::size_t i) {
     all[i].drift.reset();
     ++all[i].incarnation;
   }
   void offer(std::size_t i, const Version& version) { tell(i, Offered{version}); }
-  void decide_by(std::size_t i, const rules::Rules& rules) { tell(i, ReadBack{tree_of(rules)}); }
+  void decide_by(std::size_t i, const rules::Rules& rules) { tell(i, RulesReadBack{tree_of(rules)}); }
 
   void tell(std::size_t i, const Event& event) {
     One& one = all[i];
@@ -128,7 +128,7 @@
         one.notes.push_back(note->text);
       }
     }
-    for (const Vote& vote : kept) tell(i, VoteKept{vote});
+    for (const Vote& vote : kept) tell(i, VotePersisted{vote});
   }
   void meet(std::size_t i) {
     if (!all[i].drift) return;
--- a/tests/fleet/facts_hostile_test.cpp
+++ b/tests/fleet/facts_hostile_test.cpp
@@ -108,19 +108,19 @@
   Facts a({}, kA, 3), same({}, kA, 3), later({}, kA, 7);
   a.put(at(seconds(0)), office(1), "mine");
   same.put(at(seconds(0)), office(1), "mine");
-  EXPECT_EQ(a.take(at(seconds(1)), kB, same.delta(at(seconds(1)), Digest{})).own_seen, 0U);
+  EXPECT_EQ(a.take(at(seconds(1)), kB, same.delta(at(seconds(1)), Digest{})).conflicting_incarnation, 0U);
   EXPECT_EQ(a.counts().not_owners, 0U);
   Facts copy({}, kA, 3);  // a copied disk: the same incarnation, another process
   copy.put(at(seconds(0)), office(1), "not mine");
-  EXPECT_EQ(a.take(at(seconds(1)), kB, copy.delta(at(seconds(1)), Digest{})).own_seen, 3U);
+  EXPECT_EQ(a.take(at(seconds(1)), kB, copy.delta(at(seconds(1)), Digest{})).conflicting_incarnation, 3U);
   same.put(at(seconds(0)), office(2), "more");
-  EXPECT_EQ(a.take(at(seconds(1)), kB, same.delta(at(seconds(1)), Digest{})).own_seen, 3U);
+  EXPECT_EQ(a.take(at(seconds(1)), kB, same.delta(at(seconds(1)), Digest{})).conflicting_incarnation, 3U);
   later.put(at(seconds(0)), office(1), "later");
   Facts b({}, kB, 1);
   exchange(at(seconds(2)), later, kA, b, kB);
   const Digest wanted = a.wanted(b.digest(a.summary()));
   const Facts::Taken taken = a.take(at(seconds(3)), kB, b.delta(at(seconds(3)), wanted));
-  EXPECT_EQ(taken.own_seen, 7U) << "one above what is heard is to be taken";
+  EXPECT_EQ(taken.conflicting_incarnation, 7U) << "one above what is heard is to be taken";
   EXPECT_TRUE(taken.changed.empty());
   EXPECT_EQ(a.size(), 1U) << "the own fact, and none else";
   a.raise(8);
@@ -168,7 +168,7 @@
     if (draw.below(5) == 0) a.put(now, office(draw.below(9)), std::string(draw.below(64), 'o'));
     if (draw.below(9) == 0) a.erase(now, office(draw.below(9)));
     ASSERT_NO_THROW(a.check()) << step;
-    ASSERT_LE(encoded(a.delta(now, Digest{})), settings.most_delta);
+    ASSERT_LE(encoded(a.delta(now, Digest{})), settings.max_delta_bytes);
   }
   const Counts& counts = a.counts();
   EXPECT_TRUE(counts.taken > 1000 && counts.over_bound > 1000 && counts.old > 1000 &&
--- a/tests/fleet/facts_random_test.cpp
+++ b/tests/fleet/facts_random_test.cpp
@@ -133,7 +133,7 @@
   }
   Delta delta(Member& member, const Digest& digest, std::map<Which, Duration>& lag) {
     Delta delta = member.facts.delta(now_, digest);
-    EXPECT_LE(encoded(delta), settings_.most_delta + 80);
+    EXPECT_LE(encoded(delta), settings_.max_delta_bytes + 80);
     for (const OwnerDelta& part : delta.owners) {
       for (const Fact& fact : part.facts) {
         const Which which{fact.owner, fact.incarnation, fact.version};
@@ -174,7 +174,7 @@
   void take(Member& to, const Message& message) {
     const std::set<Which> before = held(to);
     const Facts::Taken taken = to.facts.take(now_, members_[message.from].id, std::get<Delta>(message.what));
-    EXPECT_EQ(taken.own_seen, 0U);
+    EXPECT_EQ(taken.conflicting_incarnation, 0U);
     for (const Which& which : held(to)) {
       if (!before.contains(which)) to.lag[which] = message.lag.at(which) + (now_ - message.sent);
     }
@@ -235,7 +235,7 @@
     FactsSettings settings;
     settings.most_facts_an_owner = seed % 2 == 0 ? 5 : 12;
     settings.most_bytes_an_owner = seed % 3 == 0 ? 260 : 4096;
-    settings.most_delta = seed % 4 < 2 ? 150 : 4096;
+    settings.max_delta_bytes = seed % 4 < 2 ? 150 : 4096;
     settings.tombstone = seconds(seed % 5 < 2 ? 2 : 20);
     World world(seed, settings);
     for (int part = 0; part < 2; ++part) {
--- a/tests/fleet/facts_test.cpp
+++ b/tests/fleet/facts_test.cpp
@@ -57,13 +57,14 @@
 
 TEST(Facts, ARestartTakesAllOlderFactsAwayAtOnceEvenWhereItsOwnAreCut) {
   FactsSettings settings;
-  settings.most_delta = 200;
+  settings.max_delta_bytes = 200;
   Facts before(settings, kA, 1), b(settings, kB, 1);
   for (std::uint64_t n = 1; n <= 4; ++n) before.put(at(seconds(0)), office(n), "old");
   exchange(at(seconds(1)), before, kA, b, kB);
   ASSERT_EQ(b.size(), 4U);
   Facts after(settings, kA, 2);
-  EXPECT_EQ(after.take(at(seconds(2)), kB, b.delta(at(seconds(2)), after.digest())).own_seen, 0U);
+  EXPECT_EQ(after.take(at(seconds(2)), kB, b.delta(at(seconds(2)), after.digest())).conflicting_incarnation,
+            0U);
   for (std::uint64_t n = 4; n <= 20; ++n) after.put(at(seconds(2)), office(n), "new");
   const Delta delta = after.delta(at(seconds(3)), b.digest());
   ASSERT_TRUE(delta.owners.at(0).more);
@@ -109,7 +110,7 @@
 
 TEST(Facts, OwnFactsFirstAndNoOwnerStarvesWhereAllChangeAllTheTime) {
   FactsSettings settings;
-  settings.most_delta = 1000;
+  settings.max_delta_bytes = 1000;
   Facts a(settings, kA, 1), b(settings, kB, 1);
   std::vector<Facts> others;
   for (std::uint64_t n = 10; n < 50; ++n) others.emplace_back(FactsSettings{}, id(n), 1);
@@ -124,7 +125,7 @@
     }
     for (std::uint64_t fact = 0; fact < 30; ++fact) a.put(now, office(fact), std::string(60, 'x'));
     const Delta delta = a.delta(now, b.digest());
-    EXPECT_LE(encoded(delta), settings.most_delta);
+    EXPECT_LE(encoded(delta), settings.max_delta_bytes);
     b.take(now, kA, delta);
     ASSERT_EQ(delta.owners.at(0).owner, kA);
     for (const OwnerDelta& part : delta.owners) ++turns[part.owner];
@@ -134,7 +135,7 @@
 
 TEST(Facts, ListsAndOfficesGoFirstAndTheNewestOfThem) {
   FactsSettings settings;
-  settings.most_delta = 1000;
+  settings.max_delta_bytes = 1000;
   Facts a(settings, kA, 1), b(settings, kB, 1);
   for (std::uint64_t n = 10; n < 70; ++n) {  // too many for one delta
     Facts other(FactsSettings{}, id(n), 1);
@@ -143,7 +144,7 @@
     a.take(now, id(n), other.delta(now, a.digest()));
   }
   const Delta delta = a.delta(at(seconds(70)), b.digest());
-  EXPECT_LE(encoded(delta), settings.most_delta);
+  EXPECT_LE(encoded(delta), settings.max_delta_bytes);
   for (const std::size_t place : {0U, 1U, 2U, 3U})  // after the own
     EXPECT_EQ(delta.owners.at(place + 1).owner, id(65 - 10 * place)) << place;
 }
--- a/tests/fleet/governed_list_test.cpp
+++ b/tests/fleet/governed_list_test.cpp
@@ -19,7 +19,7 @@
 }
 
 // Takes down what the senders' side is told, which is before the core hears of it.
-class Told final : public OfficeSide {
+class Told final : public OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<OfficeEntry>& offices) override {
     for (const OfficeEntry& o : offices) state[o.entry.server] = o.entry.state;
@@ -28,11 +28,11 @@
   void start(const SetUp& /*set_up*/) override {}
   void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
   std::map<ServerId, ServerState> state;
   int times = 0;
 };
-class Heard final : public Governor {
+class Heard final : public ListArbiter {
  public:
   void listed(bool live, bool complete, const std::vector<OfficeEntry>& offices) override {
     wholes += complete ? 1 : 0;
@@ -48,7 +48,7 @@
 class Governed : public ::testing::Test {
  protected:
   Governed() {
-    list.govern(heard);
+    list.set_list_arbiter(heard);
     core.start(told);
   }
   ~Governed() override { core.stop(); }
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -54,8 +54,8 @@
   Random random(kSeed + 5);
   for (int i = 0; i < 2000; ++i) {
     members::Message message = random.message();
-    message.envelope.incarnation %= members::kMostIncarnation;
-    for (members::Update& u : message.updates) u.incarnation %= members::kMostIncarnation;
+    message.envelope.incarnation %= members::kMaxIncarnation;
+    for (members::Update& u : message.updates) u.incarnation %= members::kMaxIncarnation;
     EXPECT_LE(wire_size(message), members::encoded_size(message)) << "message " << i;
     const news::Message news = random.news();
     EXPECT_LE(wire_size(news), news::encoded_size(news)) << "news " << i;
@@ -134,12 +134,12 @@
 TEST(LinkCodec, BoundsHoldBothWays) {
   members::Message m = Random(kSeed + 3).message();
   m.kind = members::Kind::ping;
-  m.updates.assign(members::kMostUpdates + 1, plain(""));
+  m.updates.assign(members::kMaxUpdates + 1, plain(""));
   const auto error = [](const auto& of) { return error_of([&] { (void)encode(of); }); };
   EXPECT_EQ(error(m), "updates: 17 of them, 16 at most");
   m.kind = members::Kind::table;
   EXPECT_EQ(error(m), "");
-  m.updates.assign(members::kMostUpdates + 1, plain(std::string(64, 'n')));
+  m.updates.assign(members::kMaxUpdates + 1, plain(std::string(64, 'n')));
   EXPECT_EQ(error(m).substr(0, 9), "message: ") << "over 1400 bytes";
   m.updates.assign(1, plain(std::string(65, 'n')));
   EXPECT_EQ(error(m), "updates[0].name: 65 bytes, 64 at most");
--- a/tests/fleet/link_peer_test.cpp
+++ b/tests/fleet/link_peer_test.cpp
@@ -10,21 +10,21 @@
 
 TEST(LinkPeer, NobodyAnswersADialOrTheConnection) {
   Node a(1, quick);
-  a.script.act(*a.link, {Dial{Conversation{2}, own(9), MemberId{9}}});  // refused
+  a.script.act(*a.link, {Dial{ConnectionId{2}, own(9), MemberId{9}}});  // refused
   ASSERT_TRUE(a.script.wait<Closed>());
   // Two hold all places of this listener: what else is dialled there is neither taken nor refused.
   const Raw full(SOCK_STREAM, 3);
   const Endpoint at = full.listen(0);
   const Raw first(SOCK_STREAM, 4);
   ASSERT_TRUE(first.connect(at));
-  a.script.act(*a.link, {Dial{Conversation{4}, at, MemberId{3}}});
+  a.script.act(*a.link, {Dial{ConnectionId{4}, at, MemberId{3}}});
   ASSERT_TRUE(a.script.wait<Closed>(2));
   EXPECT_EQ(a.script.count<Opened>(), 0U);
   // Half-open: the kernel takes it, nobody ever speaks.
   const Raw silent(SOCK_STREAM, 5);
-  a.script.act(*a.link, {Dial{Conversation{6}, silent.listen(8), MemberId{5}}});
+  a.script.act(*a.link, {Dial{ConnectionId{6}, silent.listen(8), MemberId{5}}});
   ASSERT_TRUE(a.script.wait<Opened>() && a.script.wait<Closed>(3));
-  EXPECT_EQ(a.script.get<Closed>(2).id, Conversation{6});
+  EXPECT_EQ(a.script.get<Closed>(2).id, ConnectionId{6});
 }
 
 TEST(LinkPeer, AFrameTooLongAndOneTooSlow) {
@@ -59,14 +59,14 @@
 
 TEST(LinkPeer, OneThatReadsNothing) {
   Node a(1, [](LinkSettings& s) { s.silent_most = 60s; });
-  Node b(2, {}, [](const TurnEvent& event, TurnActions& actions) {
+  Node b(2, {}, [](const CoordinatorEvent& event, CoordinatorActions& actions) {
     if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(2)});
   });
   const Raw deaf(SOCK_STREAM, 3);
   ASSERT_TRUE(deaf.connect(own(1)));
   ASSERT_TRUE(a.script.wait<Accepted>());
   const Exchange words = large(1);
-  const Conversation id = a.script.get<Accepted>().id;
+  const ConnectionId id = a.script.get<Accepted>().id;
   // One at a time, so that the queue grows only once the kernel's buffers are full.
   std::uint64_t said = 0;
   for (; said < 20000 && a.script.count<Closed>() == 0; ++said) {
@@ -80,7 +80,7 @@
   const std::uint64_t held = f.exchange_frames_out + a.settings.most_queued / encode(words).size() + 1;
   EXPECT_GE(said, held);
   EXPECT_LE(said, held + 16);
-  b.script.act(*b.link, {Dial{Conversation{2}, own(1), MemberId{1}}});
+  b.script.act(*b.link, {Dial{ConnectionId{2}, own(1), MemberId{1}}});
   EXPECT_TRUE(a.script.wait<Said>()) << "others are heard";
 }
 
@@ -104,11 +104,11 @@
   ASSERT_TRUE(more.connect(own(1)));
   EXPECT_TRUE(more.closed()) << "the 25th of all";
   EXPECT_EQ(a.link->figures().refused, 2U);
-  TurnActions dials;
-  for (std::uint64_t i = 1; i <= 9; ++i) dials.push_back(Dial{Conversation{2 * i}, own(2), MemberId{2}});
+  CoordinatorActions dials;
+  for (std::uint64_t i = 1; i <= 9; ++i) dials.push_back(Dial{ConnectionId{2 * i}, own(2), MemberId{2}});
   a.script.act(*a.link, std::move(dials));
   ASSERT_TRUE(a.script.wait<Closed>()) << "the 33rd";
-  EXPECT_EQ(a.script.get<Closed>().id, Conversation{18});
+  EXPECT_EQ(a.script.get<Closed>().id, ConnectionId{18});
   taken.pop_back();
   ASSERT_TRUE(a.script.wait<Closed>(2));
   come(21);
@@ -117,13 +117,14 @@
 
 TEST(LinkPeer, AFloodOfDatagramsHoldsUpNeitherTicksNorExchanges) {
   std::atomic<std::size_t> since = 0, most = 0, ticks = 0;
-  Node a(1, {}, [&](const TurnEvent& event, TurnActions&) {
-    const bool flood = std::holds_alternative<Datagram>(event) || std::holds_alternative<Malformed>(event);
+  Node a(1, {}, [&](const CoordinatorEvent& event, CoordinatorActions&) {
+    const bool flood =
+        std::holds_alternative<MembershipReceived>(event) || std::holds_alternative<Malformed>(event);
     if (flood && ++since > most) most = since.load();
     if (flood) std::this_thread::sleep_for(50us);  // slower than it comes
   });
   a.script.ticking = [&] { since = 0, ++ticks; };
-  Node b(2, {}, [](const TurnEvent& event, TurnActions& actions) {
+  Node b(2, {}, [](const CoordinatorEvent& event, CoordinatorActions& actions) {
     if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(2)});
   });
   std::atomic<bool> over = false;
@@ -137,7 +138,7 @@
   a.script.act(*a.link, {});
   EXPECT_TRUE(a.script.wait<Malformed>(2000));
   const std::size_t before = ticks;
-  b.script.act(*b.link, {Dial{Conversation{2}, own(1), MemberId{1}}});
+  b.script.act(*b.link, {Dial{ConnectionId{2}, own(1), MemberId{1}}});
   EXPECT_TRUE(a.script.wait<Said>());
   EXPECT_TRUE(a.script.wait<Malformed>(4000));
   EXPECT_GT(ticks, before);
--- a/tests/fleet/link_rig.h
+++ b/tests/fleet/link_rig.h
@@ -53,16 +53,16 @@
 // Notes every event, answers by `react`, and does what the test hands it.
 class Script : public Driver {
  public:
-  using React = std::function<void(const TurnEvent&, TurnActions&)>;
+  using React = std::function<void(const CoordinatorEvent&, CoordinatorActions&)>;
   React react;
   std::function<void()> ticking;
-  TurnActions first, last;
+  CoordinatorActions first, last;
   std::atomic<std::int64_t> every = 0;  // ns between ticks; 0: none
 
-  void begin(Time now, TurnActions& actions) override { begun_ = now, actions = first; }
-  void on(Time, const TurnEvent& event, TurnActions& actions) override {
+  void begin(Time now, CoordinatorActions& actions) override { begun_ = now, actions = first; }
+  void on(Time, const CoordinatorEvent& event, CoordinatorActions& actions) override {
     const std::lock_guard lock(mutex_);
-    if (std::holds_alternative<CoreSaid>(event)) {
+    if (std::holds_alternative<CoreEvent>(event)) {
       actions.swap(to_do_);
       to_do_.clear();
     }
@@ -70,18 +70,18 @@
     events_.push_back(event);
     changed_.notify_all();
   }
-  void tick(Time now, TurnActions&) override {
+  void tick(Time now, CoordinatorActions&) override {
     begun_ = now;
     if (ticking) ticking();
   }
-  void leave(Time, TurnActions& actions) override { actions = last; }
+  void leave(Time, CoordinatorActions& actions) override { actions = last; }
   [[nodiscard]] Time next() const override { return every == 0 ? Time::max() : begun_ + Duration(every); }
 
   // Done on the link's thread; returns once it was handed over.
-  void act(Link& link, TurnActions actions) {
+  void act(Link& link, CoordinatorActions actions) {
     std::unique_lock lock(mutex_);
-    for (TurnAction& action : actions) to_do_.push_back(std::move(action));
-    link.from_core(recovery::SourceSilent{});
+    for (CoordinatorAction& action : actions) to_do_.push_back(std::move(action));
+    link.from_core(recovery::SourceUnreachable{});
     EXPECT_TRUE(changed_.wait_for(lock, kWait, [this] { return to_do_.empty(); }));
   }
   template <class Kind>
@@ -97,7 +97,7 @@
   template <class Kind>
   Kind get(std::size_t which = 0) {
     const std::lock_guard lock(mutex_);
-    for (const TurnEvent& event : events_)
+    for (const CoordinatorEvent& event : events_)
       if (const auto* found = std::get_if<Kind>(&event); found != nullptr && which-- == 0) return *found;
     throw std::runtime_error("no such event");
   }
@@ -105,13 +105,14 @@
  private:
   template <class Kind>
   std::size_t of() const {
-    return static_cast<std::size_t>(std::count_if(
-        events_.begin(), events_.end(), [](const TurnEvent& e) { return std::holds_alternative<Kind>(e); }));
+    return static_cast<std::size_t>(
+        std::count_if(events_.begin(), events_.end(),
+                      [](const CoordinatorEvent& e) { return std::holds_alternative<Kind>(e); }));
   }
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<TurnEvent> events_;
-  TurnActions to_do_;
+  std::vector<CoordinatorEvent> events_;
+  CoordinatorActions to_do_;
   Time begun_{};
 };
 
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 // Answers a summary with a summary, and hangs up when it has its own answer.
-void answer(const TurnEvent& event, TurnActions& actions) {
-  const auto is_own = [](Conversation id) { return static_cast<std::uint64_t>(id) % 2 == 0; };
+void answer(const CoordinatorEvent& event, CoordinatorActions& actions) {
+  const auto is_own = [](ConnectionId id) { return static_cast<std::uint64_t>(id) % 2 == 0; };
   if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(1)});
   if (const auto* said = std::get_if<Said>(&event)) {
     if (is_own(said->id))
-      actions.push_back(HangUp{said->id});
+      actions.push_back(CloseConnection{said->id});
     else
       actions.push_back(SendExchange{said->id, summary(2)});
   }
@@ -27,15 +27,15 @@
   Node a(
       1, [](LinkSettings& s) { s.via[MemberId{2}] = own(2); }, answer);
   a.script.act(*a.link,
-               {SendDatagram{own(9), MemberId{2}, ping(1, 7)}, Dial{Conversation{2}, own(9), MemberId{2}},
-                SendDatagram{own(3), MemberId{3}, ping(1, 8)}, Dial{Conversation{4}, own(3), MemberId{3}}});
-  ASSERT_TRUE(b.script.wait<Datagram>() && c.script.wait<Datagram>());
-  EXPECT_EQ(b.script.get<Datagram>().message.sequence, 7U);
-  EXPECT_EQ(c.script.get<Datagram>().message.sequence, 8U);
+               {SendMembership{own(9), MemberId{2}, ping(1, 7)}, Dial{ConnectionId{2}, own(9), MemberId{2}},
+                SendMembership{own(3), MemberId{3}, ping(1, 8)}, Dial{ConnectionId{4}, own(3), MemberId{3}}});
+  ASSERT_TRUE(b.script.wait<MembershipReceived>() && c.script.wait<MembershipReceived>());
+  EXPECT_EQ(b.script.get<MembershipReceived>().message.sequence, 7U);
+  EXPECT_EQ(c.script.get<MembershipReceived>().message.sequence, 8U);
   ASSERT_TRUE(a.script.wait<Said>(2) && b.script.wait<Closed>() && c.script.wait<Closed>());
   EXPECT_EQ(a.script.get<Said>().exchange.envelope.from, MemberId{2});
-  EXPECT_EQ(b.script.get<Accepted>().id, Conversation{1});
-  EXPECT_EQ(b.script.get<Closed>().id, Conversation{1});
+  EXPECT_EQ(b.script.get<Accepted>().id, ConnectionId{1});
+  EXPECT_EQ(b.script.get<Closed>().id, ConnectionId{1});
   a.link->stop();
   EXPECT_EQ(a.script.count<Closed>(), 0U) << "who hangs up is told nothing more";
   const LinkFigures f = a.link->figures();
@@ -60,9 +60,9 @@
   std::condition_variable changed;
   bool sent = false, frozen = false;
   std::size_t before_tick = 0, ticks = 0, seen = 0;
-  Node a(1, {}, [&](const TurnEvent& event, TurnActions&) {
-    if (std::holds_alternative<Datagram>(event)) ++seen;
-    if (!std::holds_alternative<IncarnationKept>(event)) return;
+  Node a(1, {}, [&](const CoordinatorEvent& event, CoordinatorActions&) {
+    if (std::holds_alternative<MembershipReceived>(event)) ++seen;
+    if (!std::holds_alternative<IncarnationPersisted>(event)) return;
     std::unique_lock lock(mutex);
     frozen = true;
     changed.notify_all();
@@ -95,50 +95,51 @@
     std::atomic<bool> over = false;
     {
       Node a(1, {}, answer);
-      a.script.last = {SendDatagram{own(2), MemberId{2}, ping(1, 1000)}};
+      a.script.last = {SendMembership{own(2), MemberId{2}, ping(1, 1000)}};
       std::thread load([&] {
         const Raw peer(SOCK_DGRAM, 3);
         EXPECT_TRUE(peer.connect(own(1)));
         while (!over) (void)peer.send(encode(ping(3, 1)));
       });
       for (std::uint64_t i = 1; i <= 20; ++i)
-        a.script.act(*a.link, {Dial{Conversation{2 * i}, own(2), MemberId{2}}});
-      EXPECT_TRUE(a.script.wait<Datagram>(100));
+        a.script.act(*a.link, {Dial{ConnectionId{2 * i}, own(2), MemberId{2}}});
+      EXPECT_TRUE(a.script.wait<MembershipReceived>(100));
       a.link->stop();
       EXPECT_EQ(a.link->figures().connections, 0U);
-      a.link->from_core(recovery::SourceSilent{});  // late, and harmless
+      a.link->from_core(recovery::SourceUnreachable{});  // late, and harmless
       over = true;
       load.join();
     }
-    EXPECT_TRUE(b.script.wait<Datagram>(static_cast<std::size_t>(round) + 1)) << "the last word";
+    EXPECT_TRUE(b.script.wait<MembershipReceived>(static_cast<std::size_t>(round) + 1)) << "the last word";
   }
 }
 
 TEST(Link, ADriverThatThrowsEndsTheLinkAlone) {
-  Node a(1, {}, [](const TurnEvent&, TurnActions&) { throw std::logic_error("an invariant"); });
-  a.link->from_core(recovery::SourceSilent{});
+  Node a(1, {}, [](const CoordinatorEvent&, CoordinatorActions&) { throw std::logic_error("an invariant"); });
+  a.link->from_core(recovery::SourceUnreachable{});
   const auto until = std::chrono::steady_clock::now() + kWait;
   while (!a.link->figures().failed && std::chrono::steady_clock::now() < until) std::this_thread::yield();
   EXPECT_TRUE(a.link->figures().failed);
-  a.link->from_core(recovery::SourceSilent{});
+  a.link->from_core(recovery::SourceUnreachable{});
   a.link->stop();
 }
 
 TEST(Link, TheCoresQueueIsBounded) {
   CoreQueue queue(128);
-  EXPECT_TRUE(queue.push(recovery::SourceSilent{}));
-  for (int i = 1; i < 200; ++i) EXPECT_FALSE(queue.push(recovery::SourceSilent{})) << "woken once a batch";
+  EXPECT_TRUE(queue.push(recovery::SourceUnreachable{}));
+  for (int i = 1; i < 200; ++i)
+    EXPECT_FALSE(queue.push(recovery::SourceUnreachable{})) << "woken once a batch";
   EXPECT_EQ(queue.dropped(), 200U - 128U);
   EXPECT_EQ(queue.take().size(), 128U);
-  EXPECT_TRUE(queue.push(recovery::SourceSilent{})) << "taken, so woken anew";
+  EXPECT_TRUE(queue.push(recovery::SourceUnreachable{})) << "taken, so woken anew";
 }
 
 // The core's side while the link's thread stands still, and after: nothing waits, nothing is missed.
 TEST(Link, WhoHurriesAStuckLinkIsNotHeldUpAndIsHeardAfter) {
   std::promise<void> stuck, free;
   std::atomic<bool> stands{true};
-  Node a(1, {}, [&](const TurnEvent& event, TurnActions&) {
-    if (!std::holds_alternative<IncarnationKept>(event)) return;
+  Node a(1, {}, [&](const CoordinatorEvent& event, CoordinatorActions&) {
+    if (!std::holds_alternative<IncarnationPersisted>(event)) return;
     stuck.set_value();
     free.get_future().wait_for(kWait);
     stands = false;
@@ -152,12 +153,12 @@
   ASSERT_EQ(stuck.get_future().wait_for(kWait), std::future_status::ready);
   for (int i = 0; i < 100'000; ++i) {
     a.link->hurry();
-    a.link->from_core(recovery::Pressure{});
+    a.link->from_core(recovery::OfficeLoad{});
   }
   EXPECT_TRUE(stands) << "the link is not stuck: this tests nothing";
   EXPECT_EQ(a.link->figures().core_dropped, 100'000 - a.settings.most_from_core);
   free.set_value();
-  ASSERT_TRUE(a.script.wait<CoreSaid>(a.settings.most_from_core));
+  ASSERT_TRUE(a.script.wait<CoreEvent>(a.settings.most_from_core));
   for (int n = 1; n <= 2; ++n) {
     std::this_thread::sleep_for(20ms);  // so that the link has nothing else to do by which it would look
     a.script.every = 1;                 // due, and its timer does not know it
--- a/tests/fleet/list_epochs_test.cpp
+++ b/tests/fleet/list_epochs_test.cpp
@@ -40,8 +40,8 @@
   EXPECT_FALSE(taken({4, 7, 43}));
   EXPECT_FALSE(taken({4, 8, 42}));
   EXPECT_FALSE(taken({0, 7, 42}));
-  EXPECT_TRUE(taken({ListEpochs::kFarthest, 7, 42}));
-  EXPECT_FALSE(taken({ListEpochs::kFarthest + 1, 7, 42}));
+  EXPECT_TRUE(taken({ListEpochs::kMaxEpochLead, 7, 42}));
+  EXPECT_FALSE(taken({ListEpochs::kMaxEpochLead + 1, 7, 42}));
   EXPECT_FALSE(taken({kMost, 7, 42}));
 }
 
@@ -57,7 +57,7 @@
   const ServerId removed{2};
   const auto kept = fleet.truth.extract(removed);
   for (std::size_t i = 0; i < 3; ++i) {
-    ListHeard heard = fleet.list(2);
+    ListReceived heard = fleet.list(2);
     heard.restarts = 1;
     fleet.give(i, heard);
     fleet.give(i, ListCaughtUp{});
--- a/tests/fleet/members_belief_test.cpp
+++ b/tests/fleet/members_belief_test.cpp
@@ -83,8 +83,8 @@
   One one(settings, 100);  // kept up to 110
   one.hear(1, {update_of(0, 105, Health::dead, 1)});
   EXPECT_EQ(one.members.self().incarnation, 106U);
-  ASSERT_NE(one.told<Raised>(), nullptr) << "the next block, before this one ends";
-  EXPECT_EQ(one.told<Raised>()->to, 116U);
+  ASSERT_NE(one.told<PersistIncarnation>(), nullptr) << "the next block, before this one ends";
+  EXPECT_EQ(one.told<PersistIncarnation>()->to, 116U);
   one.hear(1, {update_of(0, 114, Health::dead, 1)});
   EXPECT_EQ(one.members.self().incarnation, 106U) << "not kept yet";
   ASSERT_NE(one.sent_of(0), nullptr);
@@ -106,31 +106,31 @@
 
   One restarted;
   restarted.hear(1, {update_of(0, 5000, Health::alive)});
-  const auto* raised = restarted.told<Raised>();
+  const auto* raised = restarted.told<PersistIncarnation>();
   ASSERT_NE(raised, nullptr);
   EXPECT_EQ(restarted.members.self().incarnation, 1U);
   restarted.keep(raised->to);
   EXPECT_EQ(restarted.members.self().incarnation, 5001U);
 }
 
-TEST(Namesake, IsToldOnceAMinute) {
+TEST(DuplicateName, IsToldOnceAMinute) {
   One one;
   one.hear(1, {});
   Message other = One::message(Kind::ping, 0, 9);
   one.hear(other);
-  ASSERT_NE(one.told<Namesake>(), nullptr);
-  EXPECT_EQ(one.told<Namesake>()->incarnation, 9U);
+  ASSERT_NE(one.told<DuplicateName>(), nullptr);
+  EXPECT_EQ(one.told<DuplicateName>()->incarnation, 9U);
   one.hear(other);
-  EXPECT_EQ(one.told<Namesake>(), nullptr);
+  EXPECT_EQ(one.told<DuplicateName>(), nullptr);
   one.run(seconds(61));
   other.envelope.incarnation = 1;
   one.hear(other);
-  EXPECT_EQ(one.told<Namesake>(), nullptr) << "the own words, come back";
+  EXPECT_EQ(one.told<DuplicateName>(), nullptr) << "the own words, come back";
   other.updates = {update_of(0, 1, Health::alive)};
   other.updates[0].at.port = 1;
   one.hear(other);
-  ASSERT_NE(one.told<Namesake>(), nullptr) << "the own name at another address";
-  EXPECT_EQ(one.told<Namesake>()->at.port, 1);
+  ASSERT_NE(one.told<DuplicateName>(), nullptr) << "the own name at another address";
+  EXPECT_EQ(one.told<DuplicateName>()->at.port, 1);
   EXPECT_EQ(one.members.refused().own_name, 4U);
 }
 
@@ -156,7 +156,7 @@
   EXPECT_EQ(refused([](Message& m) { m.updates[0].zone.assign(33, 'a'); }).malformed, 4U);
   EXPECT_EQ(refused([](Message& m) { m.updates[0].at.port = 0; }).malformed, 5U);
   EXPECT_EQ(refused([](Message& m) { m.updates[0].member = {}; }).malformed, 6U);
-  EXPECT_EQ(refused([](Message& m) { m.updates[0].incarnation = kMostIncarnation; }).malformed, 7U);
+  EXPECT_EQ(refused([](Message& m) { m.updates[0].incarnation = kMaxIncarnation; }).malformed, 7U);
   EXPECT_EQ(refused([](Message& m) { m.updates[0].health = Health{4}; }).malformed, 8U);
   EXPECT_EQ(refused([](Message& m) { m.updates.resize(17, m.updates[0]); }).malformed, 9U);
   EXPECT_EQ(refused([](Message& m) { m.kind = Kind{6}; }).malformed, 10U);
@@ -166,14 +166,14 @@
 
 TEST(Bounds, ATableComesInPartsAndAFullTableTakesNobody) {
   One one;
-  for (std::size_t n = 1; n < kMostMembers + 10; ++n) {
+  for (std::size_t n = 1; n < kMaxMembers + 10; ++n) {
     Message m = One::message(Kind::ping, n);
     m.updates = {update_of(n, 1, Health::alive)};
     one.actions.clear();
     one.members.heard(one.now, m, one.actions);
   }
   one.members.check();
-  EXPECT_EQ(one.members.table().size(), kMostMembers - 1);
+  EXPECT_EQ(one.members.table().size(), kMaxMembers - 1);
   EXPECT_EQ(one.members.refused().full, 10U);
   Message join = One::message(Kind::join, 1);
   one.hear(join);
@@ -184,7 +184,7 @@
     EXPECT_LE(part.updates.size(), kMostTable);
     for (const Update& u : part.updates) told.insert(u.member);
   }
-  EXPECT_EQ(told.size(), kMostMembers - 1) << "all but the one that asks, and oneself";
+  EXPECT_EQ(told.size(), kMaxMembers - 1) << "all but the one that asks, and oneself";
 }
 
 }  // namespace
--- a/tests/fleet/members_fleet.h
+++ b/tests/fleet/members_fleet.h
@@ -86,12 +86,12 @@
         largest = std::max<std::uint64_t>(largest, size);
         const std::size_t to = send->to.address - 0x7f000001U;
         if (to < nodes.size()) net.send(node, to, std::move(send->message));
-      } else if (const auto* changed = std::get_if<Changed>(&actions[i])) {
+      } else if (const auto* changed = std::get_if<HealthChanged>(&actions[i])) {
         told(node, *changed);
-      } else if (const auto* raised = std::get_if<Raised>(&actions[i])) {
+      } else if (const auto* raised = std::get_if<PersistIncarnation>(&actions[i])) {
         stores[node] = raised->to;
         Actions more;
-        nodes[node]->raised_kept(net.now(), stores[node], more);
+        nodes[node]->incarnation_persisted(net.now(), stores[node], more);
         for (members::Action& a : more) actions.push_back(std::move(a));
       } else {
         ++namesakes;
@@ -100,7 +100,7 @@
     if (checked) nodes[node]->check();
     net.alarm(node, nodes[node]->next());
   }
-  void told(std::size_t by, const Changed& changed) {
+  void told(std::size_t by, const HealthChanged& changed) {
     const std::size_t of = static_cast<std::size_t>(changed.member) - 1000;
     if (of == watched && changed.to == Health::dead) {
       seen_dead.resize(nodes.size(), Time::max());
--- a/tests/fleet/members_one.h
+++ b/tests/fleet/members_one.h
@@ -23,7 +23,7 @@
   explicit One(const MembersSettings& with = {}, Incarnation incarnation = 1)
       : settings(with), members(with, self(incarnation), {}, 1) {
     members.begin(now, actions);
-    if (const auto* raised = told<Raised>()) keep(raised->to);
+    if (const auto* raised = told<PersistIncarnation>()) keep(raised->to);
     actions.clear();
   }
   static Self self(Incarnation incarnation) {
@@ -55,7 +55,7 @@
   }
   void keep(Incarnation to) {
     actions.clear();
-    members.raised_kept(now, to, actions);
+    members.incarnation_persisted(now, to, actions);
     members.check();
   }
   // Each turn at its time; what all of them told is in `actions`.
--- a/tests/fleet/members_time_test.cpp
+++ b/tests/fleet/members_time_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(one.health(9), Health::suspect);
     answer(one, milliseconds(2), {});
     EXPECT_EQ(one.health(9), Health::dead);
-    const auto* changed = one.told<Changed>();
+    const auto* changed = one.told<HealthChanged>();
     ASSERT_NE(changed, nullptr);
     EXPECT_EQ(changed->from, Health::suspect);
     EXPECT_EQ(changed->to, Health::dead);
@@ -161,7 +161,7 @@
     one.now += seconds(60);
     if (message_first) one.hear(1, {});
     answer(one, milliseconds(1));
-    EXPECT_EQ(one.told<Changed>(), nullptr);
+    EXPECT_EQ(one.told<HealthChanged>(), nullptr);
     EXPECT_EQ(one.health(3), Health::suspect) << "its time has not run while nobody could be heard";
     EXPECT_GE(one.members.health(), 3U);
     answer(one, seconds(20));
--- a/tests/fleet/model_controllers.cpp
+++ b/tests/fleet/model_controllers.cpp
@@ -48,7 +48,7 @@
   c.start_at = Time::max();
   std::vector<Record> records;
   for (const auto& [key, value] : c.store) records.push_back({key, value.first, now_ - value.second});
-  std::optional<Kept> kept = read_kept(records, false);
+  std::optional<Kept> kept = read_stored_state(records, false);
   c.kept_ready = false;
   c.alone = !kept || std::max(kept->agreed, kept->largest) <= 1;
   if (kept) {
@@ -81,7 +81,7 @@
 void ModelWorld::tell_members(std::size_t i) {
   Controller& c = controllers_[i];
   if (!c.recovery || now_ < c.late_until) return;
-  MembersTold told;
+  MembersChanged told;
   std::size_t ever = 0;
   for (std::size_t j = 0; j < kControllers; ++j) {
     ever += controllers_[j].recovery || controllers_[j].incarnation > 1 ? 1 : 0;
@@ -104,7 +104,7 @@
   Controller& c = controllers_[i];
   if (!c.recovery || now_ < std::max(c.late_until, c.list_at) || c.list == list_) return;
   c.list = list_;
-  ListHeard heard{list_, true, {}};
+  ListReceived heard{list_, true, {}};
   const bool anew = list_ > 1;
   const Office cold{kCold, anew ? 2000U : 1000U, {9, 80}, 0, 1.0};
   const Office last{kOver, 1001, {9, 81}, 0, 1.0};
@@ -138,7 +138,7 @@
         }
       }
     }
-    give(to, FactTold{fact});
+    give(to, FactReceived{fact});
   }
 }
 
@@ -163,7 +163,7 @@
   for (const Terms::Line& line : terms.offices) {
     if (!usable(line)) continue;
     const bool up = line.office.id == kCold || list_ == 1;
-    give(i, OfficeSeen{{line.office, Rank::own, up ? Seen::answered : Seen::refused, {}, Duration{}}});
+    give(i, OfficeObserved{{line.office, Rank::own, up ? Seen::answered : Seen::refused, {}, Duration{}}});
   }
 }
 
--- a/tests/fleet/model_world.cpp
+++ b/tests/fleet/model_world.cpp
@@ -37,7 +37,7 @@
   settings_.ramp = 30s;
   settings_.fall_span = 5s;
   settings_.fall_multiple = 1.25;
-  if (beginning == Beginning::growing) settings_.leases.least_size = kControllers;
+  if (beginning == Beginning::growing) settings_.leases.min_size = kControllers;
   settle(beginning >= Beginning::growing ? 2 : kControllers);
   faults_ = faults;
   list_ = 2;
@@ -63,7 +63,7 @@
   for (std::size_t i = 0; i < size; ++i) controllers_[i].start_at = now_;
   for (int n = 0; n < 60; ++n) {
     step({});
-    for (std::size_t i = 0; i < size; ++i) give(i, Carried{kCold, kCarried / static_cast<double>(size)});
+    for (std::size_t i = 0; i < size; ++i) give(i, CarriedRate{kCold, kCarried / static_cast<double>(size)});
   }
 }
 
@@ -122,7 +122,7 @@
     case Deviation::silent:
       c.list = 0;
       c.list_at = now_ + 3s;
-      give(move.a, SourceSilent{});
+      give(move.a, SourceUnreachable{});
       break;
     default:
       break;
@@ -200,7 +200,7 @@
     for (const Terms::Line& line : c.terms->offices) {
       if (line.office.id == kOver && c.heard_over && (line.verdict == Verdict::trusted || line.ours))
         broken("an office that is over may be sent to by " + std::to_string(i));
-      if (line.office.id == kCold && !c.alone) rates += std::max(line.most_a_second, 0.0);
+      if (line.office.id == kCold && !c.alone) rates += std::max(line.max_rate, 0.0);
     }
     for (const std::optional<Duration>& back : c.terms->closed)
       if (back && (*back < 50ms || *back > 2s)) broken("a refusal names no time to come back");
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -78,7 +78,7 @@
     std::array<std::set<facts::Key>, kControllers> brought;
     std::optional<Terms> terms;
     Time started{}, start_at = Time::max(), list_at{}, late_until = Time::min();
-    MembersTold members;
+    MembersChanged members;
     std::uint64_t list = 0;   // number of the list that it has heard from its live source
     bool heard_over = false;  // from a live list, its own or another's, that office 1 is over
     bool kept_ready = false;  // its store named office 1
--- a/tests/fleet/news_test.cpp
+++ b/tests/fleet/news_test.cpp
@@ -28,7 +28,7 @@
                  facts::Version version = 1, Duration age = 0ns) {
   recovery::OfficeValue value;
   value.office = {ServerId{office}, start, {0x0a000001U + office, 80}, 0, 1.0};
-  value.told = recovery::Sight{told, {}};
+  value.told = recovery::Observation{told, {}};
   return {owner, 1, version, {facts::Kind::office, office}, recovery::write(value), false, age};
 }
 
@@ -39,7 +39,7 @@
   std::uint64_t missed = 0;
 };
 Spread spread(std::size_t size, double loss, std::size_t pieces, std::uint64_t seed,
-              news::NewsSettings settings = {}) {
+              news::EagerPushSettings settings = {}) {
   VirtualNetwork<std::vector<facts::Fact>> net(size, seed);
   net.every_link({loss, 1ms, 5ms, false});
   std::vector<news::News> nodes;
@@ -177,7 +177,7 @@
 }
 
 TEST(News, AFloodIsBoundedAndOthersAreHeard) {
-  const news::NewsSettings settings;
+  const news::EagerPushSettings settings;
   news::News node(settings, member(0), 1);
   const Time now = Time{} + 100s;
   const std::vector<MemberId> others{member(1), member(2), member(3), member(4)};
--- a/tests/fleet/random_messages.h
+++ b/tests/fleet/random_messages.h
@@ -28,7 +28,7 @@
     if (m.kind == members::Kind::ping_request) m.target_at = endpoint();
     for (std::size_t n = below(8); m.updates.size() < n;)
       m.updates.push_back({MemberId{bits()}, bits(), static_cast<members::Health>(below(4)), endpoint(),
-                           text(members::kMostName), text(members::kMostZone), MemberId{bits()}});
+                           text(members::kMostName), text(members::kMaxZoneBytes), MemberId{bits()}});
     return m;
   }
 
--- a/tests/fleet/recovery_alone_test.cpp
+++ b/tests/fleet/recovery_alone_test.cpp
@@ -33,8 +33,8 @@
 TEST(RecoveryAlone, WithoutAFleetAndAStoreNothingIsSaidAndNothingBarred) {
   Alone alone(std::nullopt, false);
   alone.fleet.tell_list(0);
-  alone.fleet.give(0,
-                   OfficeSeen{{alone.fleet.truth.at(ServerId{1}).first, Rank::own, Seen::refused, {}, 0s}});
+  alone.fleet.give(
+      0, OfficeObserved{{alone.fleet.truth.at(ServerId{1}).first, Rank::own, Seen::refused, {}, 0s}});
   alone.fleet.run(700ms);
   alone.fleet.run(20ms);
   EXPECT_EQ(alone.recovery().stage(), Stage::full);
@@ -63,11 +63,11 @@
 TEST(RecoveryAlone, AStageWhoseAgeIsByTheWallClockAloneIsNotFresh) {
   const StageValue full{.stage = Stage::full, .agreed = 1, .largest = 1, .served = true};
   const std::vector<Evidence> offices = kept(Stage::full, 4, 0s).offices;
-  const std::string list = write_kept_list({}, offices);
+  const std::string list = write_stored_list({}, offices);
   for (const bool link : {false, true}) {
     const Record by_wall[] = {{kStageRecord, write(full), std::nullopt, 1s},
                               {kListRecord, list, std::nullopt, 1s}};
-    const std::optional<Kept> unsure = read_kept(by_wall, false);
+    const std::optional<Kept> unsure = read_stored_state(by_wall, false);
     ASSERT_TRUE(unsure);
     EXPECT_FALSE(unsure->age);
     ASSERT_EQ(unsure->offices.size(), 4U);
@@ -76,7 +76,7 @@
     alone.fleet.run(720ms);
     EXPECT_TRUE(alone.recovery().recovering());
     const Record proven[] = {{kStageRecord, write(full), 1s, 20h}, {kListRecord, list, 2s, 20h}};
-    const std::optional<Kept> sure = read_kept(proven, false);
+    const std::optional<Kept> sure = read_stored_state(proven, false);
     ASSERT_TRUE(sure);
     EXPECT_EQ(sure->offices[0].age, 2s) << "the true age counts before the wall clock's";
     Alone restarted(sure, link);
@@ -95,7 +95,7 @@
     EXPECT_FALSE(alone.terms()->closed[1]);
     for (const Terms::Line& line : alone.terms()->offices) EXPECT_TRUE(line.ours);
     const Office office = alone.terms()->offices[0].office;
-    alone.fleet.give(0, OfficeSeen{{office, Rank::own, Seen::answered, {}, 0s}});
+    alone.fleet.give(0, OfficeObserved{{office, Rank::own, Seen::answered, {}, 0s}});
     EXPECT_EQ(alone.terms()->offices[0].verdict, Verdict::trusted);
   }
 }
@@ -115,7 +115,7 @@
 TEST(RecoveryAlone, NoStageOutlastsItsLongestStay) {
   Alone alone(kept(Stage::full, 4, 24h, 5), true);
   for (int step = 0; step < 2200; ++step) {  // nobody answers, and all are pressed
-    for (std::uint32_t id = 0; id < 4; ++id) alone.fleet.give(0, Pressure{ServerId{id}, 1.0, 0, 5, 0});
+    for (std::uint32_t id = 0; id < 4; ++id) alone.fleet.give(0, OfficeLoad{ServerId{id}, 1.0, 0, 5, 0});
     alone.fleet.run(20ms, false);  // check() holds each stage to its bound
   }
   EXPECT_EQ(alone.recovery().stage(), Stage::full);
@@ -128,7 +128,7 @@
   settings.class_aim = {2s, 500ms, 1s};
   Opening opening(settings, MemberId{3});
   Time now = Time{} + 1h;
-  const auto pass = [&](Duration span, std::optional<Pressure> pressure) {
+  const auto pass = [&](Duration span, std::optional<OfficeLoad> pressure) {
     for (const Time end = now + span; now < end; now += 50ms) {
       if (pressure) opening.said(now, *pressure, 1.0);
       opening.advance(now, 0.0, 1.0);
@@ -138,9 +138,9 @@
   EXPECT_TRUE(opening.open(1));
   EXPECT_FALSE(opening.open(2));
   EXPECT_GE(opening.come_back(0), opening.come_back(2));
-  const Pressure easy{ServerId{1}, 0.5, 10, 0, 0};
-  const Pressure busy{ServerId{1}, 0.95, 10, 0, 0};
-  const Pressure refuses{ServerId{1}, 0.5, 2, 8, 0};
+  const OfficeLoad easy{ServerId{1}, 0.5, 10, 0, 0};
+  const OfficeLoad busy{ServerId{1}, 0.95, 10, 0, 0};
+  const OfficeLoad refuses{ServerId{1}, 0.5, 2, 8, 0};
   pass(400ms, easy);
   const double there = opening.opening();
   pass(2s, busy);
@@ -154,11 +154,11 @@
 
 TEST(RecoveryAlone, TheTurnToTryPassesOnAndStartsAfterWhoSawItDown) {
   const std::set<MemberId> live{MemberId{1}, MemberId{2}, MemberId{3}};
-  Judged judged;
+  OfficeAssessment judged;
   judged.office.id = ServerId{4};
   judged.verdict = Verdict::trial;
   const Time now = Time{} + 1h;
-  const auto order = order_of(ServerId{4}, live);
+  const auto order = trial_order(ServerId{4}, live);
   Trials trials;
   trials.told(now, {judged}, true);
   EXPECT_EQ(trials.whose(now + 299ms, judged, live), order[0]);
@@ -169,8 +169,8 @@
   trials.told(now + 400ms, {judged}, true);
   EXPECT_EQ(trials.whose(now + 400ms, judged, live), order[2]);
   // Nobody whose turn it was has tried: only this one is in doubt, and waits for no further turn.
-  EXPECT_FALSE(trials.ours(now + 400ms + 7 * kTrialTurn, judged, live, order[2]));
-  EXPECT_TRUE(trials.ours(now + 400ms + 8 * kTrialTurn, judged, live, order[2]));
+  EXPECT_FALSE(trials.ours(now + 400ms + 7 * kTrialSlot, judged, live, order[2]));
+  EXPECT_TRUE(trials.ours(now + 400ms + 8 * kTrialSlot, judged, live, order[2]));
   judged.source = order[0];
   trials.told(now + 3s, {judged}, true);  // an outcome: in turn again
   EXPECT_FALSE(trials.ours(now + 3s, judged, live, order[2]));
@@ -179,15 +179,15 @@
 TEST(RecoveryAlone, AColdOfficeGetsItsShareOfWhatIsKnownToBeCarriedWarm) {
   TestFleet fleet(4);
   fleet.settle();
-  for (std::size_t i = 0; i < 4; ++i) fleet.give(i, Carried{ServerId{2}, 100.0});
+  for (std::size_t i = 0; i < 4; ++i) fleet.give(i, CarriedRate{ServerId{2}, 100.0});
   fleet.run(25s);  // rates are told seldom
   ++fleet.truth.at(ServerId{2}).first.start;
   for (std::size_t i = 0; i < 4; ++i) fleet.tell_list(i, 2);
   fleet.run(100ms);
   double sum = 0.0;
   for (const auto& m : fleet.members) {
-    EXPECT_LT(m.terms->offices[1].most_a_second, 0.0) << "warm: no bound";
-    sum += m.terms->offices[2].most_a_second;
+    EXPECT_LT(m.terms->offices[1].max_rate, 0.0) << "warm: no bound";
+    sum += m.terms->offices[2].max_rate;
   }
   const double allowance = 0.7 * 1.25 * 400.0;
   EXPECT_LE(sum, allowance * 1.13) << "rates travel rounded to a twelfth of an octave";
@@ -198,8 +198,8 @@
   Alone alone(kept(Stage::full, 4, 1s), true);
   alone.fleet.run(1s);
   std::mt19937_64 random(7);
-  const std::string office = write(
-      OfficeValue{{ServerId{1}, 5, {9, 80}, 2, 1.5}, Sight{Seen::refused, 1s}, Sight{Seen::ready, 0s}, 3s});
+  const std::string office = write(OfficeValue{
+      {ServerId{1}, 5, {9, 80}, 2, 1.5}, Observation{Seen::refused, 1s}, Observation{Seen::ready, 0s}, 3s});
   const std::vector<std::string> good{write(StageValue{}), write(ListValue{true, {1, 2, 3}}), office,
                                       write(Rates{{ServerId{1}, 2.0}})};
   for (std::size_t g = 0; g < good.size(); ++g) {
@@ -228,12 +228,12 @@
                      text,
                      random() % 9 == 0,
                      Duration(static_cast<std::int64_t>(random() % 1000) - 500)};
-    alone.fleet.give(0, FactTold{fact});
+    alone.fleet.give(0, FactReceived{fact});
     alone.recovery().check(alone.fleet.now);
   }
   EXPECT_GT(alone.recovery().counts().malformed, 500U);
-  alone.fleet.give(0,
-                   FactTold{{MemberId{2000}, 1, 1, {facts::Kind::office, 1ULL << 40U}, office, false, {}}});
+  alone.fleet.give(
+      0, FactReceived{{MemberId{2000}, 1, 1, {facts::Kind::office, 1ULL << 40U}, office, false, {}}});
   alone.fleet.run(1s);
   EXPECT_EQ(alone.recovery().stage(), Stage::full);
 }
--- a/tests/fleet/recovery_fleet.h
+++ b/tests/fleet/recovery_fleet.h
@@ -20,7 +20,7 @@
     Incarnation incarnation = 1;
     std::map<std::string, std::pair<std::string, Time>> store;
     std::map<facts::Key, std::pair<std::string, Time>> facts;
-    std::vector<StageTold> stages;
+    std::vector<StageChanged> stages;
     std::optional<Terms> terms;
     std::map<ServerId, std::size_t> changes;  // of its verdict or its address, as told to the module
     std::size_t side = 0, recoveries = 0, bytes = 0;
@@ -64,7 +64,7 @@
     std::vector<Record> records;
     for (const auto& [key, value] : m.store)
       records.push_back({key, value.first, store_age ? *store_age : now - value.second});
-    give(i, Restored{read_kept(records, false)});
+    give(i, Restored{read_stored_state(records, false)});
     if (!link) return;
     give(i, LinkUp{});
     for (std::size_t j = 0; j < members.size(); ++j)
@@ -78,7 +78,7 @@
   }
   void tell_members() {
     for (std::size_t i = 0; i < members.size(); ++i) {
-      MembersTold told;
+      MembersChanged told;
       told.known = members.size();
       for (std::size_t j = 0; j < members.size(); ++j)
         if (connected(i, j)) {
@@ -96,8 +96,8 @@
         if (i != j && connected(i, j))
           for (const auto& [key, value] : members[j].facts) send(j, i, key, value);
   }
-  ListHeard list(std::uint64_t number = 1) const {
-    ListHeard heard{number, true, {}};
+  ListReceived list(std::uint64_t number = 1) const {
+    ListReceived heard{number, true, {}};
     for (const auto& [id, office] : truth)
       if (office.second) heard.offices.push_back({office.first, Rank::told, Seen::ready, {}, Duration{}});
     return heard;
@@ -111,7 +111,7 @@
       if (line.verdict != Verdict::trusted && !line.ours) continue;
       const auto& at = truth.at(line.office.id);
       const Seen seen = at.second ? Seen::answered : Seen::refused;
-      give(i, OfficeSeen{{line.office, Rank::own, seen, {}, Duration{}}});
+      give(i, OfficeObserved{{line.office, Rank::own, seen, {}, Duration{}}});
     }
   }
   void run(Duration span, bool with_traffic = true) {
@@ -122,7 +122,7 @@
         due.push_back(f);
         return true;
       });
-      for (const Flight& f : due) give(f.to, FactTold{f.fact});
+      for (const Flight& f : due) give(f.to, FactReceived{f.fact});
       for (std::size_t i = 0; i < members.size(); ++i) {
         Recovery* recovery = members[i].recovery.get();
         if (recovery == nullptr) continue;
@@ -143,7 +143,7 @@
   }
   std::vector<Verdict> verdicts(std::size_t i) const {
     std::vector<Verdict> all;
-    for (const Judged& judged : members[i].recovery->offices(now)) all.push_back(judged.verdict);
+    for (const OfficeAssessment& judged : members[i].recovery->offices(now)) all.push_back(judged.verdict);
     return all;
   }
   // A fleet in full service, each with its store.
@@ -174,7 +174,7 @@
   void done(std::size_t i, const Actions& actions) {
     Member& m = members[i];
     for (const Action& action : actions) {
-      if (const auto* told = std::get_if<StageTold>(&action)) {
+      if (const auto* told = std::get_if<StageChanged>(&action)) {
         m.stages.push_back(*told);
         if (told->to == Stage::probation) ++m.recoveries;
       } else if (const auto* terms = std::get_if<Terms>(&action)) {
--- a/tests/fleet/recovery_fleet_test.cpp
+++ b/tests/fleet/recovery_fleet_test.cpp
@@ -65,7 +65,7 @@
   for (std::size_t i = 3; i < 12; ++i) fleet.kill(i);
   fleet.truth.at(ServerId{5}).second = false;
   fleet.truth.at(ServerId{6}).second = false;
-  for (std::size_t i = 0; i < 3; ++i) fleet.give(i, SourceSilent{});
+  for (std::size_t i = 0; i < 3; ++i) fleet.give(i, SourceUnreachable{});
   fleet.run(20s);
   for (std::size_t i = 3; i < 12; ++i) {
     fleet.start(i);
@@ -160,7 +160,7 @@
   TestFleet fleet(6);
   fleet.settle();
   fleet.cut({0, 0, 0, 1, 1, 1});
-  ListHeard less = fleet.list(2);
+  ListReceived less = fleet.list(2);
   less.offices.erase(less.offices.begin() + 2);
   for (std::size_t i = 0; i < 6; ++i) fleet.give(i, i < 3 ? less : fleet.list(2));
   fleet.run(1s, false);
@@ -177,7 +177,7 @@
   TestFleet fleet(12);
   fleet.settle();
   Office gone = fleet.truth.at(ServerId{4}).first;
-  fleet.give(7, ListHeard{2, false, {{gone, Rank::told, Seen::gone, {}, Duration{}}}});
+  fleet.give(7, ListReceived{2, false, {{gone, Rank::told, Seen::gone, {}, Duration{}}}});
   fleet.run(250ms);
   for (std::size_t i = 0; i < 12; ++i) {
     EXPECT_EQ(fleet.members[i].terms->offices[4].verdict, Verdict::barred) << i;
--- a/tests/fleet/recovery_kept_test.cpp
+++ b/tests/fleet/recovery_kept_test.cpp
@@ -12,7 +12,7 @@
   std::vector<Record> records;
   for (const auto& [key, value] : fleet.members[0].store)
     records.push_back({key, value.first, fleet.now - value.second});
-  const std::optional<Kept> kept = read_kept(records, false);
+  const std::optional<Kept> kept = read_stored_state(records, false);
   ASSERT_TRUE(kept);
   EXPECT_EQ(kept->stage, Stage::full);
   EXPECT_EQ(kept->agreed, 3U);
@@ -21,8 +21,8 @@
   EXPECT_EQ(kept->offices[3].office, fleet.truth.at(ServerId{3}).first);
   for (Record& record : records)
     if (record.key == kListRecord) record.value.resize(record.value.size() - 9);
-  EXPECT_TRUE(read_kept(records, false)->offices.empty());
-  EXPECT_FALSE(read_kept({}, false));
+  EXPECT_TRUE(read_stored_state(records, false)->offices.empty());
+  EXPECT_FALSE(read_stored_state({}, false));
 }
 
 TEST(RecoveryAlone, ACopyIsACopyAndEqualStatesHaveEqualNumbers) {
@@ -31,7 +31,7 @@
   Recovery copy = *fleet.members[0].recovery;
   EXPECT_EQ(copy.fingerprint(fleet.now), fleet.members[0].recovery->fingerprint(fleet.now));
   Actions actions;
-  copy.on(fleet.now, OfficeSeen{{fleet.truth.at(ServerId{0}).first, Rank::own, Seen::refused, {}, 0s}},
+  copy.on(fleet.now, OfficeObserved{{fleet.truth.at(ServerId{0}).first, Rank::own, Seen::refused, {}, 0s}},
           actions);
   EXPECT_NE(copy.fingerprint(fleet.now), fleet.members[0].recovery->fingerprint(fleet.now));
 }
--- a/tests/fleet/recovery_leases_test.cpp
+++ b/tests/fleet/recovery_leases_test.cpp
@@ -12,8 +12,8 @@
 
 Time at(Duration since) { return Time{} + 1h + since; }
 Leases kept(std::size_t agreed, std::size_t largest, std::size_t planned = 1) {
-  LeasesSettings settings;
-  settings.least_size = planned;
+  LeaseSettings settings;
+  settings.min_size = planned;
   Leases leases(settings);
   leases.restore(agreed, largest);
   return leases;
@@ -49,7 +49,7 @@
 }
 
 TEST(Leases, ANewcomerWaitsUntilTheLeasesOfTheSmallerSizeHaveEnded) {
-  Leases leases{LeasesSettings{}};
+  Leases leases{LeaseSettings{}};
   EXPECT_DOUBLE_EQ(leases.share(at(0s)).part, 1.0) << "alone, as far as it knows";
   leases.told(at(0s), {5, 5, 5, 5});
   for (int s = 1; s < 10; ++s) leases.told(at(std::chrono::seconds(s)), {5, 5, 5, 5});
@@ -62,10 +62,10 @@
   Leases leases = kept(1, 1);
   leases.spent(at(0s), ServerId{1}, 5, 3.0);
   leases.spent(at(0s), ServerId{1}, 5, 2.0);
-  EXPECT_DOUBLE_EQ(leases.spent_of(ServerId{1}), 5.0);
+  EXPECT_DOUBLE_EQ(leases.set_ups_spent(ServerId{1}), 5.0);
   leases.spent(at(0s), ServerId{1}, 6, 1.0);
   leases.spent(at(0s), ServerId{1}, 5, 1.0);
-  EXPECT_DOUBLE_EQ(leases.spent_of(ServerId{1}), 1.0);
+  EXPECT_DOUBLE_EQ(leases.set_ups_spent(ServerId{1}), 1.0);
 }
 
 // A fleet of twelve that is cut at random, restarts and heals: the parts of all never add up to more than
--- a/tests/fleet/recovery_lists_test.cpp
+++ b/tests/fleet/recovery_lists_test.cpp
@@ -10,7 +10,7 @@
 
 struct Apart {
   TestFleet fleet{6, 9};
-  std::vector<ListHeard> sides{2};
+  std::vector<ListReceived> sides{2};
   bool calls;  // with them each has sights of its own to tell
 
   // Cut in two, each side hears a list of number 2, one member after the other; then the cut heals.
@@ -23,8 +23,8 @@
     for (std::size_t i = 0; i < 6; ++i) fleet.slow[{i, (i + 1) % 6}] = fleet.slow[{i, (i + 3) % 6}] = 1s;
     fleet.run(20s, calls);
     fleet.cut({0, 0, 0, 1, 1, 1});
-    ListHeard& one = sides[swapped ? 1 : 0];
-    ListHeard& other = sides[swapped ? 0 : 1];
+    ListReceived& one = sides[swapped ? 1 : 0];
+    ListReceived& other = sides[swapped ? 0 : 1];
     one = other = fleet.list(2);
     one.offices[7].seen = Seen::draining;  // neither names the last; each leaves out one
     one.offices.pop_back();
@@ -66,7 +66,7 @@
         EXPECT_EQ(fleet.verdicts(i), before) << i;
         fleet.members[i].changes.clear();
       }
-      ListHeard both = fleet.list(3);
+      ListReceived both = fleet.list(3);
       both.offices.resize(7);
       for (std::size_t step = 0; step < 6; ++step) {
         fleet.give((first / 2 + step) % 6, both);
--- a/tests/fleet/recovery_offices_test.cpp
+++ b/tests/fleet/recovery_offices_test.cpp
@@ -26,7 +26,7 @@
   settings.ramp = 30s;
   return settings;
 }
-Judged judged(std::vector<Evidence> all, Duration when = 0s) {
+OfficeAssessment judged(std::vector<Evidence> all, Duration when = 0s) {
   Offices offices(settings());
   for (const Evidence& e : all) offices.saw(at(0s), e);
   offices.check();
@@ -120,10 +120,10 @@
 
 TEST(Offices, AnotherAddressIsAnotherOfficeIfAListSaysSo) {
   const Evidence moved = evidence(Rank::told, Seen::ready, 1s, 2, 5, 200);
-  const Judged told = judged({evidence(Rank::survivor, Seen::refused, 1s, 1), moved});
+  const OfficeAssessment told = judged({evidence(Rank::survivor, Seen::refused, 1s, 1), moved});
   EXPECT_EQ(told.verdict, Verdict::trusted);
   EXPECT_EQ(told.office.at.port, 200);
-  const Judged seen = judged(
+  const OfficeAssessment seen = judged(
       {evidence(Rank::told, Seen::ready, 9s, 1), evidence(Rank::survivor, Seen::refused, 1s, 2, 5, 200)});
   EXPECT_EQ(seen.verdict, Verdict::trusted) << "what was seen elsewhere says nothing of it";
   EXPECT_EQ(seen.office.at.port, 100);
@@ -159,7 +159,7 @@
 TEST(Offices, AListThatIsNoLongerLiveIsASightAlone) {
   Offices offices(settings());
   offices.saw(at(0s), evidence(Rank::told, Seen::ready, 0s, 1));
-  offices.forget_told(MemberId{1}, Rank::own);
+  offices.forget_list(MemberId{1}, Rank::own);
   offices.check();
   EXPECT_EQ(offices.judge(at(1h), kId).verdict, Verdict::trusted) << "as today: nothing speaks against it";
   EXPECT_EQ(offices.judge(at(1h), kId).rank, Rank::own);
@@ -188,7 +188,7 @@
 TEST(Offices, BoundedInOfficesAndSources) {
   OfficesSettings few = settings();
   few.most_offices = 3;
-  few.most_sources = 4;
+  few.max_sources = 4;
   Offices offices(few);
   for (std::uint32_t id = 0; id < 9; ++id)
     for (std::uint64_t source = 1; source < 30; ++source) {
@@ -219,12 +219,12 @@
       if (list) e.list = {1, below(3), 0};
       set.push_back(e);
     }
-    std::optional<std::pair<Judged, std::uint64_t>> first;
+    std::optional<std::pair<OfficeAssessment, std::uint64_t>> first;
     for (int order = 0; order < 6; ++order) {
       Offices offices(settings());
       for (const Evidence& e : set) offices.saw(at(0s), e);
       offices.check();
-      const Judged judged = offices.judge(at(2s), kId);
+      const OfficeAssessment judged = offices.judge(at(2s), kId);
       if (!first) first = {judged, offices.fingerprint(at(2s))};
       ASSERT_EQ(judged.verdict, first->first.verdict) << "round " << round;
       ASSERT_EQ(judged.office, first->first.office) << "round " << round;
--- a/tests/fleet/recovery_starts_test.cpp
+++ b/tests/fleet/recovery_starts_test.cpp
@@ -47,7 +47,7 @@
 TEST(RecoveryStarts, ALossWithMostDisksEmptiedOpensByStepsAndTriesWhatItIsNotTold) {
   for (const std::size_t emptied : {std::size_t{5}, std::size_t{12}}) {
     TestFleet fleet(12);
-    fleet.settings.leases.least_size = 12;
+    fleet.settings.leases.min_size = 12;
     fleet.settle();
     for (std::size_t i = 0; i < 12; ++i) fleet.kill(i);
     fleet.truth.at(ServerId{3}).second = false;
@@ -55,7 +55,7 @@
     for (std::size_t i = 0; i < 12; ++i) {
       if (i < emptied) fleet.members[i].store.clear();
       fleet.start(i);
-      ListHeard configured = fleet.list();
+      ListReceived configured = fleet.list();
       configured.live = false;
       configured.offices.push_back({fleet.truth.at(ServerId{3}).first, Rank::told, Seen::ready, {}, {}});
       fleet.give(i, configured);
--- a/tests/fleet/recovery_words_test.cpp
+++ b/tests/fleet/recovery_words_test.cpp
@@ -30,18 +30,18 @@
   for (const bool survivor : {true, false}) {
     TestFleet fleet(3);
     fleet.start(0);
-    MembersTold members;
+    MembersChanged members;
     members.live = {fleet.name(0), fleet.name(1), fleet.name(2)};
     members.incarnations = {2, 1, 1};
     members.known = 3;
     fleet.give(0, members);
     const auto say = [&](std::size_t of, facts::Key key, std::string value) {
-      fleet.give(0, FactTold{{fleet.name(of), 1, 1, key, std::move(value), false, Duration{}}});
+      fleet.give(0, FactReceived{{fleet.name(of), 1, 1, key, std::move(value), false, Duration{}}});
     };
     const auto office = [&](std::size_t of, std::uint64_t start) {
       OfficeValue value;
       value.office = {ServerId{3}, start, {9, 80}, 0, 1.0};
-      value.eyes = Sight{Seen::answered, {}};
+      value.eyes = Observation{Seen::answered, {}};
       say(of, {facts::Kind::office, 3}, write(value));
     };
     const StageValue returned{.stage = Stage::probation, .recovering = true, .up = 1s, .agreed = 3};
@@ -50,7 +50,7 @@
     say(2, {facts::Kind::stage, 0}, write(returned));
     office(1, 7);
     office(2, 9);
-    const std::vector<Judged> judged = fleet.members[0].recovery->offices(fleet.now);
+    const std::vector<OfficeAssessment> judged = fleet.members[0].recovery->offices(fleet.now);
     ASSERT_EQ(judged.size(), 1U);
     EXPECT_EQ(judged[0].office.start, survivor ? 7U : 9U);
   }
--- a/tests/fleet/return_world.cpp
+++ b/tests/fleet/return_world.cpp
@@ -24,7 +24,7 @@
   r.fall_span = 1s;
   r.fall_multiple = of.fall_multiple;
   r.cold_from = 0.33;
-  r.leases.least_size = kReturnControllers;
+  r.leases.min_size = kReturnControllers;
   return out;
 }
 
@@ -115,7 +115,7 @@
   const TermsApplied::Told told = g.applied.take(terms);
   if (!g.module) g.module = std::make_unique<Controller>(module_settings(case_), seed_ * 131 + node);
   if (!told.offices.empty()) {
-    ListTold list;
+    ServerListReceived list;
     for (const core::OfficeEntry& o : told.offices) list.entries.push_back(with_start_time(o.entry));
     tell(node, list);
   }
@@ -129,7 +129,7 @@
   g.heard = false;
   if (play_ == Play::fleet) {
     world_.start(node);
-    recovery::ListHeard configured;
+    recovery::ListReceived configured;
     configured.complete = true;
     configured.live = false;
     for (std::size_t k = 0; k < case_.configured; ++k)
@@ -138,7 +138,7 @@
     return;
   }
   g.module = std::make_unique<Controller>(module_settings(case_), seed_ * 131 + node);
-  ListTold list;
+  ServerListReceived list;
   list.complete = true;
   for (std::size_t k = 0; k < case_.configured; ++k) {
     g.at[first_[k].id] = first_[k].at;
@@ -158,7 +158,7 @@
 void ReturnWorld::tell_truth(std::size_t node) {
   Gateway& g = gateways_[node];
   if (!g.module || !bulletin_ || play_ == Play::fleet) return;
-  ListTold list;
+  ServerListReceived list;
   list.complete = true;
   for (const World::Office& office : world_.offices) {
     g.at[office.is.id] = office.is.at;
--- a/tests/fleet/return_world.h
+++ b/tests/fleet/return_world.h
@@ -66,10 +66,10 @@
   void drive(std::size_t site);
   void finish(std::size_t site, const standin::Processor::Done& done);
   void stands(std::uint64_t key);
-  void end(std::uint64_t key, Ending ending, bool call_over = false);
+  void end(std::uint64_t key, AttemptOutcome ending, bool call_ended = false);
   void fall(std::size_t site);
   void trace_fall(std::size_t site);  // to the screen: who sent how much under which bound
-  void saw(const Attempt& attempt, core::Watcher::Saw what);
+  void saw(const Attempt& attempt, core::OfficeObserver::OfficeObservation what);
   void start(std::size_t node);
   void kill(std::size_t node);
   void tell_truth(std::size_t node);  // the bulletin's list, where no fleet governs it
--- a/tests/fleet/return_world_calls.cpp
+++ b/tests/fleet/return_world_calls.cpp
@@ -6,7 +6,7 @@
 
 namespace reeltack::test {
 
-using Saw = core::Watcher::Saw;
+using OfficeObservation = core::OfficeObserver::OfficeObservation;
 using load::TryId;
 
 namespace {
@@ -51,16 +51,16 @@
       CallArrived call;
       call.call = CallId{static_cast<std::uint64_t>(p.id)};
       call.call_class = p.call_class;
-      call.number = NumberCalled{p.number};
-      call.caller_leaves = world_.now() + p.patience;
-      call.cut_before = p.again;
+      call.number = CalledNumber{p.number};
+      call.caller_leaves_at = world_.now() + p.patience;
+      call.dropped_before = p.again;
       tell(node, call);
     } else if (const auto* up = std::get_if<load::GiveUpTry>(&actions[n])) {
       const std::size_t node = up->user % gateways_.size();
       const CallId call{static_cast<std::uint64_t>(up->id)};
       const std::uint64_t key = open_attempt(node, call);
       tell(node, CallerLeft{call});
-      if (key != 0) end(key, Ending::cancelled, true);
+      if (key != 0) end(key, AttemptOutcome::cancelled, true);
       run_->callers.heard_give_up(world_.now() - run_->begun, up->id);
     } else if (const auto* over = std::get_if<load::ReleaseTry>(&actions[n])) {
       const auto of = of_call_.find(static_cast<std::uint64_t>(over->id));
@@ -100,7 +100,7 @@
       answer(fail->call, load::Callers::No::failed, {});
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       if (const std::uint64_t key = open_attempt(node, cancel->call))
-        world_.schedule(0ns, [this, key] { end(key, Ending::cancelled); });
+        world_.schedule(0ns, [this, key] { end(key, AttemptOutcome::cancelled); });
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       world_.schedule(std::max<Duration>(timer->at - world_.now(), 1ns),
                       [this, node, life = gateways_[node].life, token = timer->token] {
@@ -137,7 +137,7 @@
   of_call_[static_cast<std::uint64_t>(set_up.call)] = key;
   world_.schedule(kWay, [this, key] { arrives(key); });
   world_.schedule(std::max<Duration>(set_up.give_up - world_.now(), 1ns),
-                  [this, key] { end(key, Ending::timeout); });
+                  [this, key] { end(key, AttemptOutcome::timeout); });
 }
 
 void ReturnWorld::arrives(std::uint64_t key) {
@@ -145,12 +145,12 @@
   if (at == attempts_.end() || at->second.phase == Phase::over) return;
   const std::size_t k = at->second.site;
   if (k >= sites_.size() || !world_.offices[k].up)
-    return world_.schedule(kWay, [this, key] { end(key, Ending::connect_failed); });
+    return world_.schedule(kWay, [this, key] { end(key, AttemptOutcome::connect_failed); });
   if (sites_[k].silent) return;
   at->second.phase = Phase::works;
   if (sites_[k].processor->offer(world_.now(), standin::Work::set_up, key)) return drive(k);
   if (sites_[k].processor->fallen()) return fall(k);
-  world_.schedule(kWay, [this, key] { end(key, Ending::full); });
+  world_.schedule(kWay, [this, key] { end(key, AttemptOutcome::full); });
 }
 
 void ReturnWorld::fall(std::size_t k) {
@@ -160,7 +160,7 @@
   std::vector<std::uint64_t> open;
   for (const auto& [key, attempt] : attempts_)
     if (attempt.site == k && attempt.phase < Phase::stands) open.push_back(key);
-  for (const std::uint64_t key : open) end(key, Ending::reset);
+  for (const std::uint64_t key : open) end(key, AttemptOutcome::reset);
 }
 
 void ReturnWorld::drive(std::size_t k) {
@@ -198,8 +198,8 @@
   if (at == attempts_.end()) return;
   const Attempt a = at->second;
   if (gateways_[a.node].life != a.life) return;
-  saw(a, Saw::answered);
-  tell(a.node, CallStands{a.call, a.number, a.server, world_.now() - a.sent});
+  saw(a, OfficeObservation::answered);
+  tell(a.node, CallEstablished{a.call, a.number, a.server, world_.now() - a.sent});
   load::CallerActions actions;
   run_->callers.stands(world_.now() - run_->begun, TryId{static_cast<std::uint64_t>(a.call)}, {}, actions);
   carry_out(actions);
@@ -207,30 +207,30 @@
 }
 
 // An attempt that did not come to stand; what had come to its office is withdrawn.
-void ReturnWorld::end(std::uint64_t key, Ending ending, bool call_over) {
+void ReturnWorld::end(std::uint64_t key, AttemptOutcome ending, bool call_ended) {
   const auto at = attempts_.find(key);
   if (at == attempts_.end() || at->second.phase >= Phase::stands) return;
   const Attempt a = at->second;
-  if (a.phase == Phase::works && ending != Ending::full && sites_[a.site].processor)
+  if (a.phase == Phase::works && ending != AttemptOutcome::full && sites_[a.site].processor)
     sites_[a.site].processor->withdraw(key);
   at->second.phase = Phase::over;
   if (gateways_[a.node].life != a.life) return;
-  if (ending == Ending::connect_failed) saw(a, Saw::unreachable);
-  if (ending == Ending::timeout) saw(a, Saw::silent);
-  if (ending == Ending::full) saw(a, Saw::refused);
-  if (ending == Ending::reset) saw(a, Saw::broke);
+  if (ending == AttemptOutcome::connect_failed) saw(a, OfficeObservation::unreachable);
+  if (ending == AttemptOutcome::timeout) saw(a, OfficeObservation::silent);
+  if (ending == AttemptOutcome::full) saw(a, OfficeObservation::refused);
+  if (ending == AttemptOutcome::reset) saw(a, OfficeObservation::broke);
   AttemptEnded told;
   told.call = a.call;
   told.attempt = a.number;
   told.server = a.server;
   told.ending = ending;
-  told.call_over = call_over;
-  if (ending == Ending::full) told.reason = FullReason::turned_back;
+  told.call_ended = call_ended;
+  if (ending == AttemptOutcome::full) told.reason = FullReason::turned_back;
   told.elapsed = world_.now() - a.sent;
   tell(a.node, told);
 }
 
-void ReturnWorld::saw(const Attempt& a, Saw what) {
+void ReturnWorld::saw(const Attempt& a, OfficeObservation what) {
   if (play_ == Play::fleet && world_.nodes[a.node].turn) world_.saw(a.node, a.server, what);
 }
 
--- a/tests/fleet/return_world_trace.cpp
+++ b/tests/fleet/return_world_trace.cpp
@@ -19,8 +19,7 @@
     unsigned long long start = 0;
     if (play_ == Play::fleet && world_.nodes[i].terms)
       for (const auto& line : world_.nodes[i].terms->offices)
-        if (static_cast<std::uint32_t>(line.office.id) == k)
-          most = line.most_a_second, start = line.office.start;
+        if (static_cast<std::uint32_t>(line.office.id) == k) most = line.max_rate, start = line.office.start;
     std::printf("    node %d sent %d, bound %.2f, start known %llu of %llu\n", static_cast<int>(i), sent,
                 most, start, static_cast<unsigned long long>(world_.offices[k].is.start));
   }
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 using recovery::Seen;
-using Saw = core::Watcher::Saw;
+using OfficeObservation = core::OfficeObserver::OfficeObservation;
 
 recovery::Office office(std::uint32_t id, std::uint64_t start = 1000) {
   recovery::Office out;
@@ -23,7 +23,7 @@
 
 struct Reader {  // the link's side
   Sightings sightings{MemberId{7}};
-  std::map<ServerId, recovery::Pressure> sum;
+  std::map<ServerId, recovery::OfficeLoad> sum;
   std::map<ServerId, std::vector<Seen>> seen;
   std::map<ServerId, double> carried;
   std::size_t times = 0, events = 0;
@@ -34,13 +34,13 @@
     ++times;
     events += told.size();
     for (const recovery::Event& event : told) {
-      if (const auto* p = std::get_if<recovery::Pressure>(&event)) {
+      if (const auto* p = std::get_if<recovery::OfficeLoad>(&event)) {
         sum[p->office].stood += p->stood;
         sum[p->office].refused += p->refused;
         sum[p->office].failed += p->failed;
-      } else if (const auto* s = std::get_if<recovery::OfficeSeen>(&event)) {
+      } else if (const auto* s = std::get_if<recovery::OfficeObserved>(&event)) {
         seen[s->evidence.office.id].push_back(s->evidence.seen);
-      } else if (const auto* c = std::get_if<recovery::Carried>(&event)) {
+      } else if (const auto* c = std::get_if<recovery::CarriedRate>(&event)) {
         carried[c->office] = c->a_second;
       }
     }
@@ -50,7 +50,7 @@
   std::uint32_t stood = 0, refused = 0, failed = 0;
   auto operator<=>(const Counted&) const = default;
 };
-Counted counted(const recovery::Pressure& p) { return {p.stood, p.refused, p.failed}; }
+Counted counted(const recovery::OfficeLoad& p) { return {p.stood, p.refused, p.failed}; }
 
 // Against plain counting, at random paces: after each outcome the reader comes when next() says so, never
 // before, and by then everything is told.
@@ -71,7 +71,7 @@
     for (int n = 0; n < 2000; ++n) {
       const auto collect = [&](Time at) {
         for (const auto& [id, since] : untold)  // next() never comes later than the bound
-          ASSERT_LE(at - since, opens ? sums::kSoon : sums::kLater) << seed;
+          ASSERT_LE(at - since, opens ? sums::kSoon : sums::kSlowReportInterval) << seed;
         reader.collect(at);
         untold.clear();
         for (const auto& [id, count] : plain) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
@@ -86,17 +86,18 @@
         untold.clear();
       }
       const ServerId id{static_cast<std::uint32_t>(1 + below(4))};
-      const Saw what = below(bad) != 0 ? Saw::answered : static_cast<Saw>(1 + below(4));
-      plain[id].stood += what == Saw::answered;
-      plain[id].refused += what == Saw::refused;
-      plain[id].failed += what == Saw::broke || what == Saw::silent;
+      const OfficeObservation what =
+          below(bad) != 0 ? OfficeObservation::answered : static_cast<OfficeObservation>(1 + below(4));
+      plain[id].stood += what == OfficeObservation::answered;
+      plain[id].refused += what == OfficeObservation::refused;
+      plain[id].failed += what == OfficeObservation::broke || what == OfficeObservation::silent;
       untold.emplace(id, now);
       const bool at_once = reader.sightings.saw(now, id, what);
-      if (what == Saw::broke) {
+      if (what == OfficeObservation::broke) {
         ASSERT_FALSE(at_once);
         continue;
       }
-      const bool up = what == Saw::answered || what == Saw::refused;
+      const bool up = what == OfficeObservation::answered || what == OfficeObservation::refused;
       const bool turn = !there.contains(id) || there[id] != up;
       there[id] = up;
       if (!turn) {
@@ -122,7 +123,8 @@
   for (int n = 0; n <= 10'000; ++n) {
     const Time now = begin + n * 1ms;
     if (now >= reader.sightings.next(false)) reader.collect(now);
-    (void)reader.sightings.saw(now, ServerId{1}, n % 4 == 3 ? Saw::refused : Saw::answered);
+    (void)reader.sightings.saw(now, ServerId{1},
+                               n % 4 == 3 ? OfficeObservation::refused : OfficeObservation::answered);
   }
   EXPECT_LE(reader.times, 13U);
   EXPECT_LE(reader.events, 3 * reader.times);
@@ -135,15 +137,15 @@
 TEST(Sightings, WhatWasSeenOfAnEarlierLifeIsNotToldOfThisOne) {
   Reader reader;
   const Time now{1h};
-  (void)reader.sightings.saw(now, ServerId{1}, Saw::answered);
+  (void)reader.sightings.saw(now, ServerId{1}, OfficeObservation::answered);
   reader.collect(now);
   EXPECT_EQ(reader.events, 0U) << "it has no name yet";
   reader.sightings.name(office(1));
-  (void)reader.sightings.saw(now + 1ms, ServerId{1}, Saw::answered);
+  (void)reader.sightings.saw(now + 1ms, ServerId{1}, OfficeObservation::answered);
   reader.sightings.name(office(1, 2000));
   reader.collect(now + 2ms);
   EXPECT_EQ(reader.events, 0U);
-  (void)reader.sightings.saw(now + 3ms, ServerId{1}, Saw::silent);
+  (void)reader.sightings.saw(now + 3ms, ServerId{1}, OfficeObservation::silent);
   reader.collect(now + 3ms);
   EXPECT_EQ(counted(reader.sum[ServerId{1}]), (Counted{0, 0, 1}));
   EXPECT_EQ(reader.seen[ServerId{1}], std::vector{Seen::silent});
@@ -151,19 +153,19 @@
 
 // Two threads, as in service; more offices than there are places.
 TEST(Sightings, TheCoreCountsWhileTheLinkReads) {
-  constexpr std::uint32_t kTwice = 2 * sums::kMostOffices;
+  constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
   Reader reader;
   for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.name(office(id));
   std::atomic<bool> over{false};
   std::thread core([&] {
     for (std::uint32_t n = 0; n < 20 * kTwice; ++n)
-      (void)reader.sightings.saw(Time{1h} + n * 1us, ServerId{n % kTwice}, Saw::answered);
+      (void)reader.sightings.saw(Time{1h} + n * 1us, ServerId{n % kTwice}, OfficeObservation::answered);
     over = true;
   });
   while (!over) reader.collect(Time{1h});
   core.join();
   reader.collect(Time{1h});
-  EXPECT_EQ(reader.sum.size(), sums::kMostOffices);
+  EXPECT_EQ(reader.sum.size(), sums::kMaxOffices);
   for (const auto& [id, sum] : reader.sum) ASSERT_EQ(counted(sum), (Counted{20, 0, 0}));
 }
 
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/turn_world.cpp
@@ -75,7 +75,7 @@
   for (const auto& [key, record] : n.store) {
     if (key == kIncarnationKey)
       incarnation = std::max(incarnation, Incarnation{std::stoull(record.first)} + 1);
-    if (key == kMembersKey) remembered = read_members(record.first);
+    if (key == kMembersKey) remembered = parse_members(record.first);
     records.push_back({key, record.first, now_ - record.second});
   }
   n.store[kIncarnationKey] = {std::to_string(incarnation), now_};
@@ -84,8 +84,8 @@
                                     self_of(nodes.size() - 1, 1).at};
   n.turn = std::make_unique<Turn>(settings_.turn, self, seeds, settings_.seed * 7919 + i * 31 + n.life);
   n.sightings = std::make_unique<Sightings>(self.id);
-  TurnActions actions;
-  n.turn->begin(now_, recovery::read_kept(records, false), remembered, actions);
+  CoordinatorActions actions;
+  n.turn->begin(now_, recovery::read_stored_state(records, false), remembered, actions);
   done(i, actions);
   if (n.bulletin)
     after(20ms, [this, i, life = n.life] {
@@ -106,7 +106,7 @@
 }
 
 void World::leave(std::size_t i) {
-  TurnActions actions;
+  CoordinatorActions actions;
   nodes[i].turn->leave(now_, actions);
   done(i, actions);
   kill(i);
@@ -134,11 +134,11 @@
   return now_ - begin;
 }
 
-void World::give(std::size_t i, const TurnEvent& event) {
+void World::give(std::size_t i, const CoordinatorEvent& event) {
   if (!nodes[i].turn) return;
   mix(static_cast<std::uint64_t>((now_ - Time{}).count()) * 31 + i * 16 + event.index());
   ++steps[event.index()];
-  TurnActions actions;
+  CoordinatorActions actions;
   nodes[i].turn->on(now_, event, actions);
   done(i, actions);
 }
@@ -155,17 +155,17 @@
                if (node.life != life || node.alarm != next) return;
                node.alarm = Time::max();
                ++steps.back();
-               TurnActions actions;
+               CoordinatorActions actions;
                if (std::vector<recovery::Event> saw; now_ >= sights_due(node)) {
                  node.sightings->collect(now_, saw);
-                 node.turn->core_saw(now_, saw, actions);
+                 node.turn->on_core_events(now_, saw, actions);
                }
                node.turn->tick(now_, actions);
                done(i, actions);
              }});
 }
 
-void World::datagram(std::size_t from, const Endpoint& at, std::size_t bytes, TurnEvent event) {
+void World::datagram(std::size_t from, const Endpoint& at, std::size_t bytes, CoordinatorEvent event) {
   nodes[from].datagram_bytes += bytes;
   const std::size_t to = node_at(at);
   if (to >= nodes.size() || cut_[from * nodes.size() + to] || uniform() < settings_.loss) return;
@@ -187,33 +187,33 @@
   if (says(" to=dead") && says("nobody refuted")) ++deaths;
 }
 
-void World::done(std::size_t i, TurnActions& actions) {
+void World::done(std::size_t i, CoordinatorActions& actions) {
   Node& n = nodes[i];
-  for (TurnAction& action : actions) {
+  for (CoordinatorAction& action : actions) {
     mix(action.index());
-    if (auto* datagram = std::get_if<SendDatagram>(&action)) {
+    if (auto* datagram = std::get_if<SendMembership>(&action)) {
       const std::size_t bytes = members::encoded_size(datagram->message);
-      this->datagram(i, datagram->to, bytes, Datagram{std::move(datagram->message)});
-    } else if (auto* news = std::get_if<SendNews>(&action)) {
+      this->datagram(i, datagram->to, bytes, MembershipReceived{std::move(datagram->message)});
+    } else if (auto* news = std::get_if<SendPush>(&action)) {
       const std::size_t bytes = news::encoded_size(news->message);
       ++n.news_messages;
       n.news_bytes += bytes;
-      if (settings_.news) this->datagram(i, news->to, bytes, NewsHeard{std::move(news->message)});
+      if (settings_.news) this->datagram(i, news->to, bytes, PushReceived{std::move(news->message)});
     } else if (const auto* dialled = std::get_if<Dial>(&action)) {
       dial(i, *dialled);
     } else if (const auto* said = std::get_if<SendExchange>(&action)) {
       say(i, *said);
-    } else if (const auto* hung = std::get_if<HangUp>(&action)) {
+    } else if (const auto* hung = std::get_if<CloseConnection>(&action)) {
       hang_up(i, hung->id, true);
     } else if (const auto* store = std::get_if<Store>(&action)) {
       n.store[store->key] = {store->value, now_};
       if (store->key == kIncarnationKey)
         after(2ms, [this, i, life = n.life, to = Incarnation{std::stoull(store->value)}] {
-          if (nodes[i].life == life) give(i, IncarnationKept{to});
+          if (nodes[i].life == life) give(i, IncarnationPersisted{to});
         });
     } else if (const auto* log = std::get_if<Log>(&action)) {
       count(*log);
-    } else if (const auto* core = std::get_if<ToCore>(&action)) {
+    } else if (const auto* core = std::get_if<ApplyTerms>(&action)) {
       n.terms = core->terms;
       if (n.urgent_open == Time::max() && !core->terms.closed[1]) n.urgent_open = now_;
       for (const recovery::Terms::Line& line : core->terms.offices) n.sightings->name(line.office);
--- a/tests/fleet/turn_world.h
+++ b/tests/fleet/turn_world.h
@@ -39,7 +39,7 @@
   double calls_a_second = 4.0;  // a controller; 0: the world makes none by itself
   bool checked = true;          // check() of the turn after each step
   bool news = true;             // false: every datagram with news is lost
-  TurnSettings turn;
+  CoordinatorSettings turn;
 };
 WorldSettings world_of(std::size_t controllers, std::size_t offices, std::uint64_t seed, double loss = 0.0);
 
@@ -63,7 +63,7 @@
     std::optional<recovery::Terms> terms;
     std::map<ServerId, std::pair<Time, std::uint64_t>> paced;  // the next turn, of which start
     std::map<ServerId, Time> trying;
-    std::map<Conversation, std::size_t> talks;
+    std::map<ConnectionId, std::size_t> talks;
     std::vector<Stage> stages;
     std::uint64_t life = 0, dialled_in = 0, recoveries = 0, datagram_bytes = 0, exchange_bytes = 0;
     std::uint64_t served = 0, refused = 0, failed = 0, restarts = 0, bulletin_life = 0, news_messages = 0,
@@ -91,10 +91,11 @@
   void list(std::size_t office, recovery::Seen seen);  // told by the bulletin to whom it reaches
   void restart_bulletin();                             // its numbers begin anew
   void replace(std::size_t office);                    // a new start, cold, at another address
-  void saw(std::size_t node, ServerId office, core::Watcher::Saw what) {  // as its core does
+  void saw(std::size_t node, ServerId office,
+           core::OfficeObserver::OfficeObservation what) {  // as its core does
     if (nodes[node].sightings->saw(now_, office, what)) wake(node);
   }
-  void hear(std::size_t node, const recovery::Event& event) { give(node, CoreSaid{event}); }
+  void hear(std::size_t node, const recovery::Event& event) { give(node, CoreEvent{event}); }
   void schedule(Duration in, std::function<void()> what) { after(in, std::move(what)); }
   void run(Duration time);
   // Runs until it holds, or for so long; the time it took.
@@ -117,7 +118,8 @@
   std::function<void(std::size_t, const recovery::Terms&)> on_terms;  // of a node, as they change
   std::vector<Node> nodes;
   std::vector<Office> offices;
-  std::array<std::uint64_t, std::variant_size_v<TurnEvent> + 1> steps{};  // by kind of event; last: ticks
+  std::array<std::uint64_t, std::variant_size_v<CoordinatorEvent> + 1>
+      steps{};                               // by kind of event; last: ticks
   std::uint64_t suspicions = 0, deaths = 0;  // begun by somebody's own probe or time, of who has power
   std::uint64_t sent_to_gone = 0;  // set-ups to an office called gone by the own bulletin, after 250 ms
   Duration late_to_gone{};         // the longest such, by the word of any live reachable source
@@ -132,7 +134,7 @@
   struct Talk {
     std::array<std::size_t, 2> node{};
     std::array<std::uint64_t, 2> life{};
-    std::array<Conversation, 2> id{};
+    std::array<ConnectionId, 2> id{};
     std::array<Way, 2> way{};  // from 0 to 1, from 1 to 0
   };
   struct Due {
@@ -143,20 +145,20 @@
   };
   std::uint64_t draw();
   void after(Duration in, std::function<void()> what) { due_.push({now_ + in, ++serial_, std::move(what)}); }
-  void give(std::size_t node, const TurnEvent& event);
-  void done(std::size_t node, TurnActions& actions);
+  void give(std::size_t node, const CoordinatorEvent& event);
+  void done(std::size_t node, CoordinatorActions& actions);
   void wake(std::size_t node);
   static Time sights_due(const Node& node);
   void dial(std::size_t from, const Dial& dial);
   void say(std::size_t from, const SendExchange& said);
-  void hang_up(std::size_t from, Conversation id, bool told);
+  void hang_up(std::size_t from, ConnectionId id, bool told);
   void carry(std::size_t talk, std::size_t from, std::function<void()> what);
   void tell_list(std::size_t node);
   void call(std::size_t node);
   void set_up(std::size_t node, const recovery::Terms::Line& line);
   bool turn_of(Node& node, const recovery::Terms::Line& line);
   void unwatch();
-  void datagram(std::size_t from, const Endpoint& to, std::size_t bytes, TurnEvent event);
+  void datagram(std::size_t from, const Endpoint& to, std::size_t bytes, CoordinatorEvent event);
   void watch_gone(std::size_t node, const Office& office);
   void count(const Log& log);
   void mix(std::uint64_t value) { digest_ = (digest_ ^ value) * 0x100000001b3ULL; }
--- a/tests/fleet/turn_world_calls.cpp
+++ b/tests/fleet/turn_world_calls.cpp
@@ -6,12 +6,12 @@
 
 namespace reeltack::test {
 
-using Saw = core::Watcher::Saw;
+using OfficeObservation = core::OfficeObserver::OfficeObservation;
 using recovery::Seen;
 using recovery::Verdict;
 
 void World::tell_list(std::size_t i) {
-  recovery::ListHeard heard{list_number_, true, {}};
+  recovery::ListReceived heard{list_number_, true, {}};
   if (std::exchange(nodes[i].bulletin_life, bulletin_life_) != bulletin_life_) ++nodes[i].restarts;
   heard.restarts = nodes[i].restarts;
   const MemberId self = nodes[i].turn->members().self().id;
@@ -20,8 +20,8 @@
     nodes[i].sightings->name(office.is);
   }
   nodes[i].told_gone = std::min(nodes[i].told_gone, now_);
-  give(i, CoreSaid{heard});
-  give(i, CoreSaid{recovery::ListCaughtUp{}});
+  give(i, CoreEvent{heard});
+  give(i, CoreEvent{recovery::ListCaughtUp{}});
 }
 
 // Its power is lost too: it counts from 1 again, with the list as it is.
@@ -36,7 +36,7 @@
   nodes[i].bulletin = bulletin;
   nodes[i].told_gone = Time::max();
   if (!nodes[i].turn) return;
-  bulletin ? tell_list(i) : give(i, CoreSaid{recovery::SourceSilent{}});
+  bulletin ? tell_list(i) : give(i, CoreEvent{recovery::SourceUnreachable{}});
 }
 void World::reach_all(bool bulletin) {
   for (std::size_t i = 0; i < nodes.size(); ++i) reach(i, bulletin);
@@ -81,9 +81,9 @@
 // As the module paces: a turn each `apart` in the mean, the first at a random part of it; one not taken
 // lapses.
 bool World::turn_of(Node& n, const recovery::Terms::Line& line) {
-  if (line.most_a_second < 0.0) return true;
-  const auto apart = Duration(
-      static_cast<Duration::rep>(1.0e9 * std::min(60.0, 1.0 / std::max(line.most_a_second, 1.0e-6))));
+  if (line.max_rate < 0.0) return true;
+  const auto apart =
+      Duration(static_cast<Duration::rep>(1.0e9 * std::min(60.0, 1.0 / std::max(line.max_rate, 1.0e-6))));
   const auto part = [&](double of) {
     return Duration(static_cast<Duration::rep>(of * static_cast<double>(apart.count())));
   };
@@ -166,7 +166,8 @@
   }
   ++(there ? n.served : n.failed);
   after(2ms, [this, i, life = n.life, there, id = line.office.id] {
-    if (nodes[i].life == life) saw(i, id, there ? Saw::answered : Saw::unreachable);
+    if (nodes[i].life == life)
+      saw(i, id, there ? OfficeObservation::answered : OfficeObservation::unreachable);
   });
 }
 
@@ -176,7 +177,7 @@
 }
 std::vector<bool> World::usable(std::size_t i) const {
   std::vector<bool> out(offices.size());
-  for (const recovery::Judged& j : nodes[i].turn->recovery().offices(now_))
+  for (const recovery::OfficeAssessment& j : nodes[i].turn->recovery().offices(now_))
     out[static_cast<std::uint32_t>(j.office.id)] = j.verdict == Verdict::trusted;
   return out;
 }
--- a/tests/fleet/turn_world_talks.cpp
+++ b/tests/fleet/turn_world_talks.cpp
@@ -9,7 +9,7 @@
   const std::size_t to = node_at(dial.to);
   if (to >= nodes.size()) return;
   const std::size_t talk = ++last_talk_;
-  const auto in = Conversation{(++nodes[to].dialled_in << 1U) | 1U};
+  const auto in = ConnectionId{(++nodes[to].dialled_in << 1U) | 1U};
   talks_[talk] = {{from, to}, {nodes[from].life, nodes[to].life}, {dial.id, in}, {}};
   nodes[from].talks[dial.id] = talk;
   const bool up = nodes[to].turn != nullptr;
@@ -56,7 +56,7 @@
   });
 }
 
-void World::hang_up(std::size_t from, Conversation id, bool told) {
+void World::hang_up(std::size_t from, ConnectionId id, bool told) {
   const auto found = nodes[from].talks.find(id);
   if (found == nodes[from].talks.end()) return;
   const std::size_t talk = found->second;
--- a/tests/fleet/versions_file_test.cpp
+++ b/tests/fleet/versions_file_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_EQ(on.settings.classes[1].worth, 0.5);
   EXPECT_EQ(controllers.turn.pace.every, 500ms);
   EXPECT_EQ(controllers.turn.recovery.class_aim.at(0), 2s) << "what recovery takes of it follows";
-  EXPECT_EQ(differences(rules_of(on, controllers), wanted_of(version, "n3", "este")).size(), 0U);
+  EXPECT_EQ(differences(rules_of(on, controllers), required_rules(version, "n3", "este")).size(), 0U);
 
   Node other = node();  // in which no such class is
   other.class_names[0] = "voce";
