--- a/tests/full_size_test.cpp
+++ b/tests/full_size_test.cpp
@@ -68,7 +68,7 @@
         if (!e.out) continue;
         if (e.server == ServerId{10} && g.now >= e.sent + 20ms) {
           ++failing;
-          g.ends(static_cast<std::uint64_t>(call), Ending::busy_or_error);
+          g.ends(static_cast<std::uint64_t>(call), AttemptOutcome::busy_or_error);
         } else if (e.out && g.now >= e.sent + 200ms) {
           g.stands(static_cast<std::uint64_t>(call));
         }
@@ -149,9 +149,9 @@
   g.stands(1);
   g.arrive(2, 0, 0);
   g.stand_still(1900ms);
-  const CallArrived gone{.call = CallId{3}, .caller_leaves = g.now + 1s, .destination = 0};
-  const CallArrived stays{.call = CallId{4}, .caller_leaves = g.now + 2900ms, .destination = 0};
-  const Event answer = CallStands{CallId{2}, 0, ServerId{10}, 1900ms};
+  const CallArrived gone{.call = CallId{3}, .caller_leaves_at = g.now + 1s, .destination = 0};
+  const CallArrived stays{.call = CallId{4}, .caller_leaves_at = g.now + 2900ms, .destination = 0};
+  const Event answer = CallEstablished{CallId{2}, 0, ServerId{10}, 1900ms};
   const Event left = CallerLeft{CallId{3}};
   std::vector<std::vector<Event>> orders{
       {gone, left, stays, answer}, {answer, gone, stays, left}, {stays, gone, answer, left}};
@@ -173,7 +173,7 @@
   }
   g.arrive(100);
   g.stand_still(1900ms);
-  g.turn({CallStands{CallId{100}, 0, ServerId{10}, 1900ms}});
+  g.turn({CallEstablished{CallId{100}, 0, ServerId{10}, 1900ms}});
   for (std::uint64_t id = 200; id < 220; ++id) g.arrive(id);  // a second at 50 ms each, forty at 2 s
   EXPECT_TRUE(g.refused.empty());
 }
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -59,18 +59,18 @@
         if (!kept) e.state = ServerState::gone;
       }
     }
-    on(ListTold{complete, std::move(entries)});
+    on(ServerListReceived{complete, std::move(entries)});
   }
   void arrive(std::uint64_t id, std::uint32_t cls = 0, std::uint32_t to = 0, Duration stays = 3s,
               std::uint64_t number = 0, bool redial = false) {
     CallArrived call{
-        .call = CallId{id}, .call_class = cls, .number = NumberCalled{number}, .destination = to};
-    call.caller_leaves = now + stays;
+        .call = CallId{id}, .call_class = cls, .number = CalledNumber{number}, .destination = to};
+    call.caller_leaves_at = now + stays;
     call.redial = redial;
     arrive(call);
   }
   void arrive(const CallArrived& call) {
-    book_[call.call] = {.leaves = call.caller_leaves, .open = true};
+    book_[call.call] = {.leaves = call.caller_leaves_at, .open = true};
     on(call);
   }
   // The answer to the latest attempt of a call.
@@ -78,12 +78,14 @@
     Entry& e = book_.at(CallId{id});
     e.out = false;
     e.open = false;
-    on(CallStands{CallId{id}, e.attempts - 1, e.server, now - e.sent});
+    on(CallEstablished{CallId{id}, e.attempts - 1, e.server, now - e.sent});
   }
-  void ends(std::uint64_t id, Ending ending, FullReason reason = FullReason::unknown, bool busy = false) {
+  void ends(std::uint64_t id, AttemptOutcome ending, FullReason reason = FullReason::unknown,
+            bool busy = false) {
     Entry& e = book_.at(CallId{id});
     e.out = false;
-    if (ending == Ending::timeout || ending == Ending::reset || ending == Ending::cancelled)
+    if (ending == AttemptOutcome::timeout || ending == AttemptOutcome::reset ||
+        ending == AttemptOutcome::cancelled)
       e.released_at = now;
     on(AttemptEnded{.call = CallId{id},
                     .attempt = e.attempts - 1,
@@ -123,11 +125,11 @@
     }
     for (const Event& event : events) {
       if (const auto* call = std::get_if<CallArrived>(&event))
-        book_[call->call] = {.leaves = call->caller_leaves, .open = true};
+        book_[call->call] = {.leaves = call->caller_leaves_at, .open = true};
     }
     for (const Event& event : events) {
       if (const auto* left = std::get_if<CallerLeft>(&event)) book_.at(left->call).open = false;
-      if (const auto* stood = std::get_if<CallStands>(&event)) {
+      if (const auto* stood = std::get_if<CallEstablished>(&event)) {
         book_.at(stood->call).open = false;
         book_.at(stood->call).out = false;
       }
@@ -197,7 +199,7 @@
       answer(refuse->call, refused);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       answer(fail->call, failed);
-    } else if (std::holds_alternative<SubscribeToList>(action)) {
+    } else if (std::holds_alternative<SubscribeToServerList>(action)) {
       ++asked_for_list;
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       EXPECT_GT(timer->at, now);
--- a/tests/gateway_fleet.h
+++ b/tests/gateway_fleet.h
@@ -69,7 +69,7 @@
       if (due == out_[i].end()) break;
       const Out o = *due;
       out_[i].erase(due);
-      o.silent ? g.ends(o.call, Ending::timeout) : g.stands(o.call);
+      o.silent ? g.ends(o.call, AttemptOutcome::timeout) : g.stands(o.call);
       note(i, silent);
     }
     std::uniform_real_distribution<double> uniform;
--- a/tests/limits/shutdown_test.cpp
+++ b/tests/limits/shutdown_test.cpp
@@ -20,31 +20,31 @@
     const limits::ShutdownTimes times = limits::shutdown_times(kAsked, longest);
     const Time killed = kAsked + std::min(longest, Duration{3s}) + kKillAfterDeadline;
     EXPECT_GT(times.close_idle, kAsked + kLastRequest);
-    EXPECT_GE(times.refuse_rest, times.close_idle);
-    EXPECT_LT(times.refuse_rest, killed);
-    EXPECT_GE(times.offices_over, times.refuse_rest);
-    EXPECT_GE(times.connections_over, times.offices_over);
-    EXPECT_LT(times.connections_over, killed);
+    EXPECT_GE(times.refuse_remaining_at, times.close_idle);
+    EXPECT_LT(times.refuse_remaining_at, killed);
+    EXPECT_GE(times.offices_deadline, times.refuse_remaining_at);
+    EXPECT_GE(times.connections_deadline, times.offices_deadline);
+    EXPECT_LT(times.connections_deadline, killed);
   }
 }
 
 TEST(Shutdown, UsualDeadlinesAreWaitedForAndIdleConnectionsKeptForLateReaders) {
   const limits::ShutdownTimes times = limits::shutdown_times(kAsked, 9s);
   EXPECT_EQ(times.close_idle, kAsked + 1500ms);
-  EXPECT_EQ(times.refuse_rest, kAsked + 3350ms);
-  EXPECT_EQ(times.offices_over, kAsked + 3430ms);
-  EXPECT_EQ(times.connections_over, kAsked + 3530ms);
+  EXPECT_EQ(times.refuse_remaining_at, kAsked + 3350ms);
+  EXPECT_EQ(times.offices_deadline, kAsked + 3430ms);
+  EXPECT_EQ(times.connections_deadline, kAsked + 3530ms);
 }
 
 constexpr limits::ShutdownTimes kTimes{.close_idle = kAsked + 1s,
-                                       .refuse_rest = kAsked + 3s,
-                                       .offices_over = kAsked + 4s,
-                                       .offices_close = 500ms,
-                                       .connections_over = kAsked + 5s};
-using Seen = limits::ShutdownOrder::Seen;
+                                       .refuse_remaining_at = kAsked + 3s,
+                                       .offices_deadline = kAsked + 4s,
+                                       .offices_close_timeout = 500ms,
+                                       .connections_deadline = kAsked + 5s};
+using Seen = limits::ShutdownSequence::Seen;
 
-TEST(ShutdownOrder, OfficesAreReadToTheirEndsBeforeTheLastCallerIsClosed) {
-  limits::ShutdownOrder order(kTimes);
+TEST(ShutdownSequence, OfficesAreReadToTheirEndsBeforeTheLastCallerIsClosed) {
+  limits::ShutdownSequence order(kTimes);
   EXPECT_FALSE(order.next(kAsked + 1s - 1ns, {}).close_callers_but_one);
   auto steps = order.next(kAsked + 1s, {.calls_open = true});
   EXPECT_TRUE(steps.close_callers_but_one);
@@ -63,15 +63,15 @@
   EXPECT_TRUE(order.next(kAsked + 1400ms, {.offices_finished = true, .callers_closed = true}).done);
 }
 
-TEST(ShutdownOrder, OfficesThatDoNotCloseAreWaitedForWithinABound) {
-  limits::ShutdownOrder order(kTimes);
+TEST(ShutdownSequence, OfficesThatDoNotCloseAreWaitedForWithinABound) {
+  limits::ShutdownSequence order(kTimes);
   EXPECT_TRUE(order.next(kAsked + 2s, {}).finish_offices);
   EXPECT_FALSE(order.next(kAsked + 2500ms - 1ns, {}).close_last_caller);
   EXPECT_TRUE(order.next(kAsked + 2500ms, {}).close_last_caller);
 }
 
-TEST(ShutdownOrder, WhatIsOpenInTheEndIsRefusedAndNobodyIsWaitedFor) {
-  limits::ShutdownOrder order(kTimes);
+TEST(ShutdownSequence, WhatIsOpenInTheEndIsRefusedAndNobodyIsWaitedFor) {
+  limits::ShutdownSequence order(kTimes);
   const Seen busy{.calls_open = true};
   EXPECT_FALSE(order.next(kAsked + 3s - 1ns, busy).refuse_calls);
   auto steps = order.next(kAsked + 3s, busy);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -97,7 +97,7 @@
   g.arrive(1);
   g.arrive(2);
   g.pass(100ms);
-  g.ends(1, Ending::busy_or_error, FullReason::unknown, true);
+  g.ends(1, AttemptOutcome::busy_or_error, FullReason::unknown, true);
   EXPECT_TRUE(g.sent_to(2, 10));
   EXPECT_EQ(g.failed, std::vector<std::uint64_t>{1});
 }
@@ -145,11 +145,11 @@
   g.list({ready(10, 0), ready(11, 1), ready(12, 2)});
   g.arrive(1, 0, 0);
   g.pass(50ms);
-  g.ends(1, Ending::full, FullReason::processor);
+  g.ends(1, AttemptOutcome::full, FullReason::processor);
   ASSERT_EQ(g.sent_count(1), 2U);
   EXPECT_FALSE(g.sends.back().server == ServerId{10});
   g.pass(50ms);
-  g.ends(1, Ending::full, FullReason::processor);
+  g.ends(1, AttemptOutcome::full, FullReason::processor);
   EXPECT_EQ(g.sent_count(1), 2U);
   EXPECT_TRUE(g.was_refused(1));
 }
--- a/tests/membership/reach_test.cpp
+++ b/tests/membership/reach_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Dialled = Reach::Dialled;
-using Asked = Reach::Asked;
+using Dialled = Reachability::Dialled;
+using Asked = Reachability::Asked;
 
 Time at(Duration d) { return Time{1000s} + d; }
 ServerEntry entry(ServerState state = ServerState::ready, std::uint64_t start = 0) {
@@ -17,20 +17,20 @@
   out.start = StartId{start};
   return out;
 }
-Reach ready_at_start() {
-  Reach r;
+Reachability ready_at_start() {
+  Reachability r;
   r.told(entry());
   return r;
 }
-Reach up_at_start(bool calls_stand) {
-  Reach r = ready_at_start();
+Reachability up_at_start(bool calls_established) {
+  Reachability r = ready_at_start();
   r.up(at(0s));
-  r.keep(calls_stand);
+  r.keep(calls_established);
   return r;
 }
 
-TEST(Reach, AReadyOfficeIsDialledAtOnceAndADrainingOneForWhatIsLeftThere) {
-  Reach r = ready_at_start();
+TEST(Reachability, AReadyOfficeIsDialledAtOnceAndADrainingOneForWhatIsLeftThere) {
+  Reachability r = ready_at_start();
   EXPECT_LE(r.dial_at(false, false), at(0s));
   r.told(entry(ServerState::draining));
   EXPECT_EQ(r.dial_at(false, false), Time::max());
@@ -38,16 +38,16 @@
   r.keep(true);
   EXPECT_LE(r.dial_at(false, false), at(0s));  // calls stand
 }
-TEST(Reach, AFailureIsFollowedAfterAWhileAndBySetUpsAtOnce) {
-  Reach r = ready_at_start();
+TEST(Reachability, AFailureIsFollowedAfterAWhileAndBySetUpsAtOnce) {
+  Reachability r = ready_at_start();
   EXPECT_FALSE(r.failed(Dialled::refused, at(1s)));  // it never was up: no call is over
   EXPECT_EQ(r.dial_at(false, false), at(1250ms));
   EXPECT_LE(r.dial_at(true, false), at(1s));
   r.told(entry());  // the list speaks of it: at once
   EXPECT_LE(r.dial_at(false, false), at(1s));
 }
-TEST(Reach, ARefusalAfterItWasUpIsADeathOnceAndOnlyAStartAnewEndsIt) {
-  Reach r = up_at_start(true);
+TEST(Reachability, ARefusalAfterItWasUpIsADeathOnceAndOnlyAStartAnewEndsIt) {
+  Reachability r = up_at_start(true);
   r.ended(at(1s));
   EXPECT_EQ(r.dial_at(false, false), at(1020ms));
   EXPECT_FALSE(r.failed(Dialled::failed, at(1020ms)));  // out of reach is not dead yet
@@ -60,24 +60,24 @@
   EXPECT_TRUE(r.told(entry(ServerState::ready, 5000)));
   EXPECT_LE(r.dial_at(false, false), at(2s));
 }
-TEST(Reach, AQuietConnectionIsAskedForWhereCallsStand) {
-  Reach r = up_at_start(false);
+TEST(Reachability, AQuietConnectionIsAskedForWhereCallsStand) {
+  Reachability r = up_at_start(false);
   EXPECT_EQ(r.ask_at(), Time::max());  // it may stay quiet
   r.keep(true);
   EXPECT_EQ(r.ask_at(), at(2500ms));
   r.heard(at(2s));
   EXPECT_EQ(r.ask_at(), at(4500ms));
 }
-TEST(Reach, ASetUpWithoutAWordIsAskedForSooner) {
-  Reach r = up_at_start(true);
+TEST(Reachability, ASetUpWithoutAWordIsAskedForSooner) {
+  Reachability r = up_at_start(true);
   EXPECT_TRUE(r.left(at(1s)));
   EXPECT_FALSE(r.left(at(1800ms)));  // it counts from the first
   EXPECT_EQ(r.ask_at(), at(2s));
   r.heard(at(1900ms));
   EXPECT_EQ(r.ask_at(), at(4400ms));
 }
-TEST(Reach, SilenceIsCalledALossOnlyAfterLongEnoughWithoutANewConnection) {
-  Reach r = up_at_start(true);
+TEST(Reachability, SilenceIsCalledALossOnlyAfterLongEnoughWithoutANewConnection) {
+  Reachability r = up_at_start(true);
   EXPECT_EQ(r.asked(Dialled::failed, at(3s)), Asked::wait);
   EXPECT_EQ(r.ask_at(), at(3250ms));
   EXPECT_EQ(r.asked(Dialled::failed, at(5500ms - 1ns)), Asked::wait);
@@ -85,8 +85,8 @@
   EXPECT_EQ(r.dial_at(false, false), Time::max());
   EXPECT_FALSE(r.failed(Dialled::refused, at(6s)));  // its calls have been cut already
 }
-TEST(Reach, WhatAnswersTheAskingTakesTheOldConnectionsPlaceOrEndsIt) {
-  Reach r = up_at_start(true);
+TEST(Reachability, WhatAnswersTheAskingTakesTheOldConnectionsPlaceOrEndsIt) {
+  Reachability r = up_at_start(true);
   EXPECT_EQ(r.asked(Dialled::up, at(3s)), Asked::replaced);
   r.ended(at(3s));
   r.up(at(3s));
@@ -96,8 +96,8 @@
   EXPECT_TRUE(r.failed(Dialled::refused, at(6020ms)));  // and then it is a death
 }
 // The connection ended before the machine fell silent: the same bound as of one that is open and quiet.
-TEST(Reach, SilenceAfterTheConnectionHasEndedIsALossToo) {
-  Reach r = up_at_start(true);
+TEST(Reachability, SilenceAfterTheConnectionHasEndedIsALossToo) {
+  Reachability r = up_at_start(true);
   r.heard(at(1s));
   r.ended(at(2s));
   EXPECT_FALSE(r.failed(Dialled::failed, at(6500ms - 1ns)));
@@ -105,49 +105,49 @@
   EXPECT_FALSE(r.failed(Dialled::failed, at(7s))) << "once";
   EXPECT_EQ(r.dial_at(false, false), at(7250ms)) << "it is still looked for";
 }
-TEST(Reach, WithoutACallThatStandsNothingIsLost) {
-  Reach r = up_at_start(false);
+TEST(Reachability, WithoutACallThatStandsNothingIsLost) {
+  Reachability r = up_at_start(false);
   r.ended(at(2s));
   EXPECT_FALSE(r.failed(Dialled::failed, at(60s)));
 }
 // However long a connection may take by the settings: the calls that stand are not kept waiting for it.
-TEST(Reach, AConnectionIsAwaitedNoLongerThanTheCallsThatStand) {
-  Reach r = up_at_start(true);
-  EXPECT_EQ(r.dial_by(at(2500ms), 500ms), at(3s));
-  EXPECT_EQ(r.dial_by(at(2500ms), 60s), at(5500ms));
-  EXPECT_EQ(r.dial_by(at(6s), 500ms), at(6500ms));  // that time has passed
+TEST(Reachability, AConnectionIsAwaitedNoLongerThanTheCallsThatStand) {
+  Reachability r = up_at_start(true);
+  EXPECT_EQ(r.dial_deadline(at(2500ms), 500ms), at(3s));
+  EXPECT_EQ(r.dial_deadline(at(2500ms), 60s), at(5500ms));
+  EXPECT_EQ(r.dial_deadline(at(6s), 500ms), at(6500ms));  // that time has passed
   r.keep(false);
-  EXPECT_EQ(r.dial_by(at(2500ms), 60s), at(62500ms));
+  EXPECT_EQ(r.dial_deadline(at(2500ms), 60s), at(62500ms));
 }
 // Our own want of descriptors hides whether the office is there: only dials that could be made show it.
-TEST(Reach, WantOfRoomOnThisHostIsNoEvidenceOfSilence) {
-  Reach open = up_at_start(true);
+TEST(Reachability, WantOfRoomOnThisHostIsNoEvidenceOfSilence) {
+  Reachability open = up_at_start(true);
   open.no_room(at(6s));
   EXPECT_EQ(open.asked(Dialled::failed, at(9s - 1ns)), Asked::wait);
   EXPECT_EQ(open.asked(Dialled::failed, at(9s)), Asked::lost);
-  Reach ended = up_at_start(true);
+  Reachability ended = up_at_start(true);
   ended.ended(at(1s));
   ended.no_room(at(6s));
-  EXPECT_EQ(ended.dial_by(at(6s), 60s), at(9s));
+  EXPECT_EQ(ended.dial_deadline(at(6s), 60s), at(9s));
   EXPECT_FALSE(ended.failed(Dialled::failed, at(9s - 1ns)));
   EXPECT_TRUE(ended.failed(Dialled::failed, at(9s)));
 }
-TEST(Reach, WantOfRoomThatIsOverBeforeTheSilenceChangesNothing) {
-  Reach r = up_at_start(true);
+TEST(Reachability, WantOfRoomThatIsOverBeforeTheSilenceChangesNothing) {
+  Reachability r = up_at_start(true);
   r.no_room(at(1s));
   EXPECT_EQ(r.asked(Dialled::failed, at(5500ms - 1ns)), Asked::wait);
   EXPECT_EQ(r.asked(Dialled::failed, at(5500ms)), Asked::lost);
 }
 // A process that died meanwhile is found dead: the want did not make its calls be forgotten.
-TEST(Reach, RefusalAfterWantOfRoomIsADeath) {
-  Reach r = up_at_start(true);
+TEST(Reachability, RefusalAfterWantOfRoomIsADeath) {
+  Reachability r = up_at_start(true);
   r.ended(at(1s));
   for (Duration d = 1s; d <= 7s; d += 10ms) r.no_room(at(d));
   EXPECT_TRUE(r.failed(Dialled::refused, at(7s)));
 }
 
-TEST(Reach, GoneIsForGood) {
-  Reach r = up_at_start(true);
+TEST(Reachability, GoneIsForGood) {
+  Reachability r = up_at_start(true);
   EXPECT_TRUE(r.told(entry(ServerState::gone)));
   EXPECT_TRUE(r.gone());
   EXPECT_EQ(r.dial_at(false, true), Time::max());
--- a/tests/membership/watch_pacing_test.cpp
+++ b/tests/membership/watch_pacing_test.cpp
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-TEST(WatchPacing, PausesDoubleToTheLongestAndBeginAnewOnceAFrameHasCome) {
-  WatchPacing p;
+TEST(WatchBackoff, PausesDoubleToTheLongestAndBeginAnewOnceAFrameHasCome) {
+  WatchBackoff p;
   EXPECT_EQ(p.pause(1.0), 150ms);
   p.failed();
   EXPECT_EQ(p.pause(1.0), 150ms);
@@ -20,22 +20,22 @@
   p.heard();
   EXPECT_EQ(p.pause(1.0), 150ms);
 }
-TEST(WatchPacing, PausesAreSpreadOverHalfOfTheSpan) {
-  WatchPacing p;
+TEST(WatchBackoff, PausesAreSpreadOverHalfOfTheSpan) {
+  WatchBackoff p;
   EXPECT_EQ(p.pause(0.0), 75ms);
   EXPECT_GT(p.pause(0.6), p.pause(0.5));
 }
-TEST(WatchPacing, AConnectionThatIsSlowToComeUpGetsMoreTimeAndOneThatIsUpLessAgain) {
-  WatchPacing p;
-  EXPECT_EQ(p.connect_limit(), 500ms);
-  p.not_in_time();
-  EXPECT_EQ(p.connect_limit(), 1s);
+TEST(WatchBackoff, AConnectionThatIsSlowToComeUpGetsMoreTimeAndOneThatIsUpLessAgain) {
+  WatchBackoff p;
+  EXPECT_EQ(p.connect_timeout(), 500ms);
+  p.connect_timed_out();
+  EXPECT_EQ(p.connect_timeout(), 1s);
   p.failed();  // refused, closed or silent says nothing of that
-  EXPECT_EQ(p.connect_limit(), 1s);
-  for (int i = 0; i < 1000; ++i) p.not_in_time();
-  EXPECT_EQ(p.connect_limit(), 2s);
-  p.came_up();
-  EXPECT_EQ(p.connect_limit(), 500ms);
+  EXPECT_EQ(p.connect_timeout(), 1s);
+  for (int i = 0; i < 1000; ++i) p.connect_timed_out();
+  EXPECT_EQ(p.connect_timeout(), 2s);
+  p.connect_succeeded();
+  EXPECT_EQ(p.connect_timeout(), 500ms);
 }
 
 }  // namespace
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -19,7 +19,7 @@
 constexpr ServerId kOffice{10};
 
 // Callers of calls from before the start: whoever an office releases is noted.
-class Strays final : public core::CallerSide {
+class Strays final : public core::CallerFrontend {
  public:
   bool stands(CallId /*call*/, const std::string& /*description*/) override { return true; }
   void refused(CallId /*call*/, core::Why /*why*/, Duration /*later*/) override {}
@@ -40,13 +40,13 @@
   std::condition_variable changed_;
   std::vector<CallId> released_;
 };
-class NoOffices final : public core::OfficeSide {
+class NoOffices final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& /*set_up*/) override {}
   void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
 };
 
 // The loop's thread is not started: a turn comes when the test gives it, so that what crosses, crosses each
--- a/tests/queue_failures_test.cpp
+++ b/tests/queue_failures_test.cpp
@@ -69,7 +69,7 @@
   warm_up(g, 0, 1, 200ms);
   g.arrive(100, 0, 0, 3s, 777);
   g.pass(200ms);
-  g.ends(100, Ending::busy_or_error, FullReason::unknown, true);
+  g.ends(100, AttemptOutcome::busy_or_error, FullReason::unknown, true);
   g.arrive(101, 1, 0, 3s, 777);
   EXPECT_TRUE(g.was_refused(101));
   g.pass(1600ms);
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -24,10 +24,10 @@
 const std::vector<std::string> kNames{"voice", "Alta prioridad"};
 
 TEST(Rules, ASpellingIsTheOnlyOne) {
-  EXPECT_EQ(spell(300ms), "300000000ns");
-  EXPECT_EQ(spell(0.1), "0.1");
-  EXPECT_EQ(spell(-0.0), "0");
-  EXPECT_EQ(spell(std::numeric_limits<double>::infinity()), "none");
+  EXPECT_EQ(to_canonical(300ms), "300000000ns");
+  EXPECT_EQ(to_canonical(0.1), "0.1");
+  EXPECT_EQ(to_canonical(-0.0), "0");
+  EXPECT_EQ(to_canonical(std::numeric_limits<double>::infinity()), "none");
   for (const char* text : {"300ms", "0300ns", "1.5ns", "ns", "", "-0ns", "300000000ns "})
     EXPECT_FALSE(read_duration(text)) << text;
   for (const char* text : {"0.10", "-0", "1e0", "inf", "nan", "", "0x1"})
@@ -87,9 +87,9 @@
   for (const char* key : {"", ".a", "a.", "a..b", "a b", "A", "a\n"}) EXPECT_FALSE(t.put(key, "x")) << key;
   EXPECT_TRUE(t.put("a.b_c-1", "x"));
   EXPECT_FALSE(t.put("a.b_c-1", "y")) << "there already";
-  EXPECT_EQ(spelt_name("Alta prioridad"), "~41lta~20prioridad");
-  EXPECT_NE(spelt_name("a~41"), spelt_name("aA"));
-  EXPECT_TRUE(is_key("class." + spelt_name("v.1/\xc3\xb1") + ".aim"));
+  EXPECT_EQ(escape_name("Alta prioridad"), "~41lta~20prioridad");
+  EXPECT_NE(escape_name("a~41"), escape_name("aA"));
+  EXPECT_TRUE(is_key("class." + escape_name("v.1/\xc3\xb1") + ".aim"));
 }
 
 TEST(Rules, WhatIsReadBackCanBeLaidOverAndNothingElse) {
@@ -100,7 +100,7 @@
   other.own_place = 7;
   for (const auto& [key, value] : wanted.rules()) {
     EXPECT_EQ(lay_over(other, kNames, key, value), "") << key;
-    EXPECT_TRUE(meaning_of(key, kNames, 1)) << key;
+    EXPECT_TRUE(rule_info(key, kNames, 1)) << key;
   }
   EXPECT_EQ(read_back(other, kNames), wanted);
   EXPECT_EQ(other.own_place, 7) << "a controller's own";
@@ -126,11 +126,11 @@
 
 TEST(Rules, BoundsOfThePlatformAreCriticalWhoeverApprovedThem) {
   Settings s = settings();
-  EXPECT_TRUE(broken_bounds(read_back(s, kNames)).empty());
+  EXPECT_TRUE(violated_bounds(read_back(s, kNames)).empty());
   s.attempts_cap = 6;
   s.release_guard = 300ms - 1ns;
   s.classes[1].aim = 4s + 1ns;
-  EXPECT_EQ(broken_bounds(read_back(s, kNames)).size(), 3U);
+  EXPECT_EQ(violated_bounds(read_back(s, kNames)).size(), 3U);
   EXPECT_EQ(severity_of("module.attempts", "6"), Severity::critical);
   EXPECT_EQ(severity_of("module.attempts", "0"), Severity::critical);
   EXPECT_EQ(severity_of("module.attempts", "4"), Severity::major);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -27,7 +27,7 @@
   ASSERT_EQ(g.sends.size(), 1U);
   EXPECT_LE(g.sends[0].give_up, g.now + 300ms);
   g.pass(300ms);
-  g.ends(1, Ending::timeout);
+  g.ends(1, AttemptOutcome::timeout);
   EXPECT_EQ(g.failed, std::vector<std::uint64_t>{1});
 }
 
@@ -101,7 +101,7 @@
   g.list({ready(10, 0), ready(11, 1)});
   g.arrive(1);
   g.pass(300ms);
-  g.ends(1, Ending::timeout);
+  g.ends(1, AttemptOutcome::timeout);
   g.pass(499ms);
   EXPECT_EQ(g.sent_count(1), 1U);
   g.pass(60ms);
@@ -116,7 +116,7 @@
     g.list({ready(10, 0), ready(11, 1)});
     g.arrive(1);
     g.pass(200ms);
-    g.ends(1, Ending::timeout);
+    g.ends(1, AttemptOutcome::timeout);
     g.pass(3s);
     EXPECT_EQ(g.sent_count(1), 1U);
     EXPECT_EQ(g.failed, std::vector<std::uint64_t>{1});  // failed, not refused: it may have had its effect
@@ -129,8 +129,9 @@
   s.own_place = 0;
   Gateway g(s);
   g.list({ready(10, 0), ready(11, 1), ready(12, 2)});
-  CallArrived call{.call = CallId{1}, .caller_leaves = g.now + 3s, .destination = 0};
-  CallArrived transit{.call = CallId{2}, .caller_leaves = g.now + 3s, .destination = 2, .in_transit = true};
+  CallArrived call{.call = CallId{1}, .caller_leaves_at = g.now + 3s, .destination = 0};
+  CallArrived transit{
+      .call = CallId{2}, .caller_leaves_at = g.now + 3s, .destination = 2, .in_transit = true};
   g.arrive(transit);
   g.arrive(call);  // to the own exchange: over none
   EXPECT_FALSE(g.sent_to(1, 10));
@@ -141,15 +142,15 @@
   Gateway g;
   g.list({ready(10, 0)});
   g.arrive(1);
-  g.on(CallStands{CallId{99}, 0, ServerId{10}, 1ms});
-  g.on(AttemptEnded{.call = CallId{98}, .server = ServerId{77}, .ending = Ending::reset});
-  g.on(AttemptEnded{.call = CallId{1}, .attempt = 9, .server = ServerId{10}, .ending = Ending::full});
+  g.on(CallEstablished{CallId{99}, 0, ServerId{10}, 1ms});
+  g.on(AttemptEnded{.call = CallId{98}, .server = ServerId{77}, .ending = AttemptOutcome::reset});
+  g.on(AttemptEnded{.call = CallId{1}, .attempt = 9, .server = ServerId{10}, .ending = AttemptOutcome::full});
   g.on(CallerLeft{CallId{97}});
   g.on(TimerFired{TimerToken{12345}});
   g.on(ServerReported{.server = ServerId{55}, .report = {.free_lines = 0.0}});
   g.on(ServerReported{.server = ServerId{10}, .report = {.free_lines = std::nan(""), .wait_ms = -4.0}});
-  g.on(PeerSaid{3, {1, 2, 3}});
-  g.on(ListFailed{});
+  g.on(PeerMessageReceived{3, {1, 2, 3}});
+  g.on(ServerListFailed{});
   g.arrive(2);
   EXPECT_EQ(g.sends.size(), 1U);
   g.pass(80ms);
@@ -174,7 +175,7 @@
   std::uint64_t next = 1;
   const auto end_overdue = [&g] {  // attempts past their time end, as the gateway's network would tell
     for (auto& [id, e] : g.book()) {
-      if (e.out && e.leaves <= g.now) g.ends(static_cast<std::uint64_t>(id), Ending::timeout);
+      if (e.out && e.leaves <= g.now) g.ends(static_cast<std::uint64_t>(id), AttemptOutcome::timeout);
     }
   };
   for (int step = 0; step < 4000; ++step) {
@@ -189,9 +190,10 @@
       for (auto& [id, e] : g.book()) {
         if (!e.out) continue;
         const auto call = static_cast<std::uint64_t>(id);
-        const Ending endings[] = {Ending::busy_or_error,  Ending::full,     Ending::timeout,
-                                  Ending::connect_failed, Ending::reset,    Ending::full,
-                                  Ending::not_sent,       Ending::cancelled};
+        const AttemptOutcome endings[] = {AttemptOutcome::busy_or_error, AttemptOutcome::full,
+                                          AttemptOutcome::timeout,       AttemptOutcome::connect_failed,
+                                          AttemptOutcome::reset,         AttemptOutcome::full,
+                                          AttemptOutcome::not_sent,      AttemptOutcome::cancelled};
         const std::uint64_t how = below(30);
         how < 8 ? g.ends(call, endings[how], static_cast<FullReason>(below(4)), how == 0) : g.stands(call);
         break;
@@ -206,12 +208,12 @@
     } else if (what < 94) {
       g.lines(static_cast<std::uint32_t>(10 + below(6)), static_cast<double>(below(9)) - 1.0);
     } else if (what < 96) {
-      g.on(ListFailed{});
+      g.on(ServerListFailed{});
     } else if (what < 98 && !g.sends.empty()) {  // an old answer comes a second time
       const SendSetUp& old = g.sends[below(g.sends.size())];
       const auto e = g.book().find(old.call);
       if (e != g.book().end() && !e->second.open && !e->second.out)
-        g.on(CallStands{old.call, 0, old.server, 3ms});
+        g.on(CallEstablished{old.call, 0, old.server, 3ms});
     } else {
       for (auto& [id, e] : g.book()) {
         if (!e.open || e.out) continue;
--- a/tests/slow_start/world.cpp
+++ b/tests/slow_start/world.cpp
@@ -67,12 +67,12 @@
   Member& member = members_[i];
   CallArrived call{.call = CallId{++next_call_}};
   call.call_class = static_cast<std::uint32_t>(random_() % plan_.settings.classes.size());
-  call.number = NumberCalled{next_call_};
-  call.caller_leaves = now_ + kPatience;
+  call.number = CalledNumber{next_call_};
+  call.caller_leaves_at = now_ + kPatience;
   call.destination = static_cast<std::uint32_t>(random_() % std::max<std::size_t>(servers_.size(), 1));
-  member.open[call.call] = call.caller_leaves;
+  member.open[call.call] = call.caller_leaves_at;
   member.class_of[call.call] = call.call_class;
-  at(call.caller_leaves, [this, i, life = member.life, id = call.call] {
+  at(call.caller_leaves_at, [this, i, life = member.life, id = call.call] {
     Member& m = members_[i];
     if (m.life == life && m.open.erase(id) > 0) hand_over(i, life, CallerLeft{id});
   });
@@ -118,12 +118,12 @@
   FakeServer& server = servers_.at(static_cast<std::uint32_t>(set_up.server));
   AttemptEnded ended{.call = set_up.call, .attempt = attempt, .server = set_up.server};
   if (!server.up) {
-    ended.ending = Ending::connect_failed;
+    ended.ending = AttemptOutcome::connect_failed;
     return end_later(i, 2 * kNetwork, ended);
   }
   const Time begins = std::max(server.busy_until, now_ + kNetwork);
   if (begins > now_ + kLongestQueue) {
-    ended.ending = Ending::full;
+    ended.ending = AttemptOutcome::full;
     ended.reason = FullReason::processor;
     return end_later(i, 2 * kNetwork, ended);
   }
@@ -131,7 +131,7 @@
   server.busy_until = begins + from_seconds(work / mean_work_ / (server.capacity * warm));
   const Time answered = server.busy_until + kNetwork;
   if (answered > set_up.give_up) {
-    ended.ending = Ending::timeout;
+    ended.ending = AttemptOutcome::timeout;
     return end_later(i, set_up.give_up - now_, ended);
   }
   at(answered, [this, i, life = members_[i].life, start = server.start_number, set_up, attempt, sent = now_] {
@@ -139,20 +139,20 @@
     if (member.life != life) return;
     if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
       AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
-      lost.ending = Ending::reset;
+      lost.ending = AttemptOutcome::reset;
       lost.elapsed = now_ - sent;
-      lost.call_over = !member.open.contains(set_up.call);
+      lost.call_ended = !member.open.contains(set_up.call);
       return hand_over(i, life, lost);
     }
     answered_ += member.open.erase(set_up.call);
-    hand_over(i, life, CallStands{set_up.call, attempt, set_up.server, now_ - sent});
+    hand_over(i, life, CallEstablished{set_up.call, attempt, set_up.server, now_ - sent});
   });
 }
 
 void World::end_later(std::size_t i, Duration after, AttemptEnded ended) {
   ended.elapsed = after;
   at(now_ + after, [this, i, life = members_[i].life, ended]() mutable {
-    ended.call_over = !members_[i].open.contains(ended.call);
+    ended.call_ended = !members_[i].open.contains(ended.call);
     hand_over(i, life, ended);
   });
 }
--- a/tests/slow_start/world_servers.cpp
+++ b/tests/slow_start/world_servers.cpp
@@ -19,7 +19,7 @@
   Member& member = members_[i];
   const std::uint32_t life = member.life + 1;
   member = Member{.controller = std::make_unique<Controller>(plan_.settings, random_()), .life = life};
-  ListTold list{.complete = true, .entries = {}};
+  ServerListReceived list{.complete = true, .entries = {}};
   for (const auto& [id, server] : servers_) {
     if (!server.listed) continue;
     list.entries.push_back(listed(id, server));
@@ -61,7 +61,7 @@
     at(now_ + within(lateness), [this, i, life = members_[i].life, id, entry] {
       if (members_[i].life != life) return;
       members_[i].knows[id] = entry.started_at;
-      hand_over(i, life, ListTold{.complete = false, .entries = {entry}});
+      hand_over(i, life, ServerListReceived{.complete = false, .entries = {entry}});
     });
   }
 }
--- a/tests/start_failures_test.cpp
+++ b/tests/start_failures_test.cpp
@@ -22,7 +22,7 @@
     g.arrive(id);
     for (auto& [call, e] : g.book()) {
       if (!e.out) continue;
-      g.ends(static_cast<std::uint64_t>(call), Ending::connect_failed);
+      g.ends(static_cast<std::uint64_t>(call), AttemptOutcome::connect_failed);
       for (const Action& a : g.last) {
         if (const auto* line = std::get_if<LogLine>(&a)) lines.push_back(line->text);
       }
@@ -39,7 +39,7 @@
   Gateway g(s);
   g.list({ready(10, 0)});
   EXPECT_EQ(g.asked_for_list, 1);
-  g.on(ListFailed{});
+  g.on(ServerListFailed{});
   g.pass(5s);
   EXPECT_EQ(g.asked_for_list, 2);
 }
--- a/tests/system_calls/discovery_test.cpp
+++ b/tests/system_calls/discovery_test.cpp
@@ -67,7 +67,7 @@
 };
 
 // Where the list goes: the endpoints named, as they came.
-class Heard final : public core::OfficeSide {
+class Heard final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& endpoints) override {
     const std::lock_guard hold(lock_);
@@ -77,7 +77,7 @@
   void start(const core::SetUp& /*attempt*/) override {}
   void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   std::vector<std::uint32_t> named() {
     const std::lock_guard hold(lock_);
     return named_;
--- a/tests/system_calls/exchange.h
+++ b/tests/system_calls/exchange.h
@@ -54,8 +54,10 @@
   std::unique_ptr<platform::SipFront> sip;
 
  private:
-  struct Blame final : core::Watcher {
-    void saw(ServerId /*endpoint*/, Saw what) override { count += what == Saw::unreachable ? 1 : 0; }
+  struct Blame final : core::OfficeObserver {
+    void saw(ServerId /*endpoint*/, OfficeObservation what) override {
+      count += what == OfficeObservation::unreachable ? 1 : 0;
+    }
     std::atomic<int> count{0};
   };
   Blame blame_;
--- a/tests/system_calls/fleet_link_test.cpp
+++ b/tests/system_calls/fleet_link_test.cpp
@@ -26,7 +26,9 @@
     settings_.listen = own(last);
     settings_.silent_most = patient ? Duration(kWait) : Duration(3 * kAgain);
     script_.every = 10'000'000;
-    script_.react = [this](const TurnEvent& event, TurnActions& actions) { react(event, actions); };
+    script_.react = [this](const CoordinatorEvent& event, CoordinatorActions& actions) {
+      react(event, actions);
+    };
     link_ = std::make_unique<Link>(settings_, script_, Outward{});
   }
   void start() const { link_->start(); }
@@ -35,7 +37,7 @@
   int reach(Member& by, std::uint64_t sequence) {
     return tries(
         [&] {
-          act({SendDatagram{own(other_), MemberId{other_}, ping(last_, sequence)}});
+          act({SendMembership{own(other_), MemberId{other_}, ping(last_, sequence)}});
         },
         [&] { return by.heard(sequence); });
   }
@@ -44,12 +46,12 @@
     const std::size_t before = answers();
     return tries(
         [&] {
-          act({Dial{Conversation{next_ += 2}, own(other_), MemberId{other_}}});
+          act({Dial{ConnectionId{next_ += 2}, own(other_), MemberId{other_}}});
         },
         [&] { return answers() > before; });
   }
   // The core is not held: what it says is taken.
-  void act(TurnActions actions) { script_.act(*link_, std::move(actions)); }
+  void act(CoordinatorActions actions) { script_.act(*link_, std::move(actions)); }
   [[nodiscard]] LinkFigures figures() const { return link_->figures(); }
   void expect_nothing_twice() {
     const std::lock_guard hold(lock_);
@@ -72,10 +74,10 @@
     ADD_FAILURE() << "not reached in " << kMostTries << " tries";
     return kMostTries + 1;
   }
-  void react(const TurnEvent& event, TurnActions& actions) {
+  void react(const CoordinatorEvent& event, CoordinatorActions& actions) {
     const std::lock_guard hold(lock_);
-    const auto is_own = [](Conversation id) { return static_cast<std::uint64_t>(id) % 2 == 0; };
-    if (const auto* came = std::get_if<Datagram>(&event)) ++heard_[came->message.sequence];
+    const auto is_own = [](ConnectionId id) { return static_cast<std::uint64_t>(id) % 2 == 0; };
+    if (const auto* came = std::get_if<MembershipReceived>(&event)) ++heard_[came->message.sequence];
     if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(last_)});
     if (const auto* over = std::get_if<Closed>(&event)) ++closed_[over->id];
     const auto* said = std::get_if<Said>(&event);
@@ -83,7 +85,7 @@
     ++said_[said->id];
     answers_ += is_own(said->id) ? 1 : 0;
     if (is_own(said->id))
-      actions.push_back(HangUp{said->id});
+      actions.push_back(CloseConnection{said->id});
     else
       actions.push_back(SendExchange{said->id, summary(last_)});
   }
@@ -102,7 +104,7 @@
   std::uint64_t next_ = 0;
   std::mutex lock_;
   std::map<std::uint64_t, int> heard_;
-  std::map<Conversation, int> said_, closed_;
+  std::map<ConnectionId, int> said_, closed_;
   std::size_t answers_ = 0;
   std::unique_ptr<Link> link_;  // ends first: its thread calls react()
 };
@@ -183,8 +185,8 @@
   const Time from = base::now();
   faults::arm(fault);
   for (unsigned n = 0; base::now() < from + 100ms; ++n) {
-    a.act({SendDatagram{own(2), MemberId{2}, ping(1, 100 + n)}});
-    if (n == 0) a.act({Dial{Conversation{1000}, own(2), MemberId{2}}});
+    a.act({SendMembership{own(2), MemberId{2}, ping(1, 100 + n)}});
+    if (n == 0) a.act({Dial{ConnectionId{1000}, own(2), MemberId{2}}});
     std::this_thread::sleep_for(10ms);
   }
   const std::uint64_t visited = faults::visited(fault.call);
--- a/tests/system_calls/silence_test.cpp
+++ b/tests/system_calls/silence_test.cpp
@@ -19,20 +19,20 @@
 using faults::Call;
 
 constexpr ServerId kEndpoint{10};
-constexpr Duration kLost = membership::ReachSettings{}.lost;
+constexpr Duration kLost = membership::ReachabilitySettings{}.lost;
 
-class NoEndpoints final : public core::OfficeSide {
+class NoEndpoints final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
   void start(const core::SetUp& /*attempt*/) override {}
   void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
 };
-class Blame final : public core::Watcher {
+class Blame final : public core::OfficeObserver {
  public:
-  void saw(ServerId /*endpoint*/, Saw what) override {
-    unreachable = unreachable || what == Saw::unreachable;
+  void saw(ServerId /*endpoint*/, OfficeObservation what) override {
+    unreachable = unreachable || what == OfficeObservation::unreachable;
   }
   std::atomic<bool> unreachable{false};
 };
@@ -117,7 +117,7 @@
 TEST_F(QuietEndpoint, CallsThatStandOutlastAWantOfDescriptors) {
   // It is asked for after a silence, and tried each 10 ms without room until it could count as lost. The dial
   // after these fails, as a single one may.
-  constexpr std::uint64_t kWithoutRoom = (kLost - membership::ReachSettings{}.quiet) / 10ms + 50;
+  constexpr std::uint64_t kWithoutRoom = (kLost - membership::ReachabilitySettings{}.quiet) / 10ms + 50;
   faults::arm({.call = Call::socket, .error = EMFILE, .repeat = kWithoutRoom, .after = ENOTSUP});
   await_failures(kWithoutRoom + 1);
   ASSERT_TRUE(exchange_.until([] { return faults::visited(Call::socket) > kWithoutRoom + 1; }));
@@ -130,7 +130,7 @@
 
 // The want hides that the process has died; its calls are cut once that shows.
 TEST_F(QuietEndpoint, DeathInAWantOfDescriptorsShowsAfterIt) {
-  constexpr std::uint64_t kWithoutRoom = kLost / membership::ReachSettings{}.look + 4;
+  constexpr std::uint64_t kWithoutRoom = kLost / membership::ReachabilitySettings{}.look + 4;
   faults::arm({.call = Call::socket, .error = EMFILE, .repeat = kWithoutRoom});
   endpoint().die();
   await_failures(kWithoutRoom);
--- a/tests/system_calls/trunk_exchange.cpp
+++ b/tests/system_calls/trunk_exchange.cpp
@@ -56,7 +56,7 @@
 
 void TrunkEndpoint::start(const core::SetUp& set_up) {
   seen.note(set_up.call, &CallSeen::starts);
-  core_.attempt_left();
+  core_.attempt_transmitted();
   const auto behaviour = static_cast<std::uint64_t>(set_up.number) % 10;
   if (behaviour == kAnswers) core_.answered(kEndpoint, set_up.call, "by the endpoint");
   if (behaviour == kBusy) core_.ended({kEndpoint, set_up.call, kBusyCause, "", {}});
@@ -72,7 +72,7 @@
   dialling = std::make_unique<trunk::Trunk>(near, near_list_, dials, std::vector<std::string>{"voice"}, 1);
   listening = std::make_unique<trunk::Trunk>(far, far_list_, listens, std::vector<std::string>{"voice"}, 2);
   endpoint = std::make_unique<TrunkEndpoint>(far);
-  far_sides_ = std::make_unique<core::OfficeSwitch>(*endpoint);
+  far_sides_ = std::make_unique<core::OfficeRouter>(*endpoint);
   far_sides_->add(*listening, [](ServerId id) { return id == kTrunk; });
 }
 TrunkExchange::~TrunkExchange() { close(); }
@@ -112,9 +112,9 @@
 void TrunkExchange::invite(std::uint64_t call, int behaviour) {
   core::Request request;
   request.told.call = CallId{call};
-  request.told.number = NumberCalled{call * 10 + static_cast<std::uint64_t>(behaviour)};
+  request.told.number = CalledNumber{call * 10 + static_cast<std::uint64_t>(behaviour)};
   request.told.destination = kPlace;
-  request.told.caller_leaves = net::now() + 4s;
+  request.told.caller_leaves_at = net::now() + 4s;
   request.description = "offer";
   request.side = &caller;
   near.request(std::move(request));
--- a/tests/system_calls/trunk_exchange.h
+++ b/tests/system_calls/trunk_exchange.h
@@ -39,7 +39,7 @@
 };
 
 // Answers by the last digit of the number called.
-class TrunkEndpoint final : public core::OfficeSide {
+class TrunkEndpoint final : public core::OfficeBackend {
  public:
   static constexpr int kAnswers = 1, kBusy = 2, kSilent = 3;
   explicit TrunkEndpoint(core::Core& core) : core_(core) {}
@@ -49,7 +49,7 @@
     seen.note(call, &CallSeen::over);
   }
   void release(ServerId /*endpoint*/, CallId call) override { seen.note(call, &CallSeen::over); }
-  void keep(ServerId /*endpoint*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   void hang_up(CallId call);
   SeenCalls seen;
 
@@ -57,7 +57,7 @@
   core::Core& core_;
 };
 
-class TrunkCaller final : public core::CallerSide {
+class TrunkCaller final : public core::CallerFrontend {
  public:
   bool stands(CallId call, const std::string& /*description*/) override {
     return seen.note(call, &CallSeen::stands), true;
@@ -97,7 +97,7 @@
 
  private:
   core::OfficeList near_list_, far_list_;
-  std::unique_ptr<core::OfficeSwitch> far_sides_;
+  std::unique_ptr<core::OfficeRouter> far_sides_;
   std::uint64_t further_ = 100;  // calls of expect_serving()
   bool closed_ = false;
 };
--- a/tests/system_calls/zone_updates_test.cpp
+++ b/tests/system_calls/zone_updates_test.cpp
@@ -52,7 +52,7 @@
 }
 
 // Where the zone's endpoints go: how often the zone told of them, and how many it named last.
-class Heard final : public core::OfficeSide {
+class Heard final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& endpoints) override {
     const std::lock_guard hold(lock_);
@@ -62,7 +62,7 @@
   void start(const core::SetUp& /*attempt*/) override {}
   void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_stand*/) override {}
+  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   std::size_t told() {
     const std::lock_guard hold(lock_);
     return told_;
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -35,7 +35,7 @@
 TEST(Terms, AClosedClassIsRefusedAtOnceWithWhenToComeBack) {
   Gateway g(advising());
   g.list({ready(10, 0)});
-  g.on(TermsTold{{Duration{700ms}, Duration{}}, {}});
+  g.on(AdmissionLimitsReceived{{Duration{700ms}, Duration{}}, {}});
   g.arrive(1, 0);
   ASSERT_TRUE(g.was_refused(1));
   const auto* refusal = std::get_if<Refuse>(&g.last.front());
@@ -49,8 +49,8 @@
 TEST(Terms, WhatTheNextTermsOpenIsTaken) {
   Gateway g(advising());
   g.list({ready(10, 0)});
-  g.on(TermsTold{{Duration{700ms}}, {}});
-  g.on(TermsTold{{}, {}});
+  g.on(AdmissionLimitsReceived{{Duration{700ms}}, {}});
+  g.on(AdmissionLimitsReceived{{}, {}});
   g.arrive(1, 0);
   EXPECT_TRUE(g.sent_to(1, 10));
 }
@@ -60,7 +60,7 @@
   free.list({cold(10, free.now - 1s), ready(11, 0)});
   Gateway paced;
   paced.list({cold(10, paced.now - 1s), ready(11, 0)});
-  paced.on(TermsTold{{}, {{ServerId{10}, 500ms}}});
+  paced.on(AdmissionLimitsReceived{{}, {{ServerId{10}, 500ms}}});
   const std::size_t without = sent_within(free, 5s);
   const std::size_t with = sent_within(paced, 5s);
   EXPECT_LE(with, 5s / 250ms);  // spread by half: 250 to 750 ms apart
@@ -71,7 +71,7 @@
 TEST(Terms, AWarmServerIsNotPaced) {
   Gateway g;
   g.list({ready(10, 0)});
-  g.on(TermsTold{{}, {{ServerId{10}, 5s}}});
+  g.on(AdmissionLimitsReceived{{}, {{ServerId{10}, 5s}}});
   EXPECT_GT(sent_within(g, 2s), 20U);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -33,11 +33,11 @@
   EXPECT_EQ(std::get<About>(batch.records[0]).instance, 3U);
   const auto& call = std::get<CallArrived>(batch.records[1]);
   EXPECT_EQ(call.call, CallId{0x000336245d3a91c4});
-  EXPECT_EQ(call.number, NumberCalled{0x91f03b7c55d20a64});
+  EXPECT_EQ(call.number, CalledNumber{0x91f03b7c55d20a64});
   EXPECT_EQ(call.work_hint, Duration{12000000});
-  EXPECT_EQ(call.caller_leaves, Time{Duration{0x203b6db90}});
+  EXPECT_EQ(call.caller_leaves_at, Time{Duration{0x203b6db90}});
   EXPECT_EQ(call.destination, 57U);
-  EXPECT_FALSE(call.redial || call.in_transit || call.cut_before);
+  EXPECT_FALSE(call.redial || call.in_transit || call.dropped_before);
   EXPECT_EQ(std::get<TimerFired>(batch.records[2]).token, TimerToken{0x4d});
   EXPECT_EQ(std::get<About>(batch.records[3]).instance, 5U);
   EXPECT_EQ(std::get<CallerLeft>(batch.records[4]).call, CallId{0x000efb9b0e6f2b19});
@@ -76,11 +76,11 @@
   const Batch batch = decode_batch(
       framed(1, hex("08 0000001e 000336245d3a91c4 00000000 0000 03124a07 01 0000 00000000011a49a0 00")));
   const auto& finished = std::get<Finished>(batch.records[0]).ended;
-  EXPECT_TRUE(finished.call_over);
-  EXPECT_EQ(finished.ending, Ending::ok);
+  EXPECT_TRUE(finished.call_ended);
+  EXPECT_EQ(finished.ending, AttemptOutcome::ok);
   EXPECT_EQ(finished.elapsed, Duration{0x11a49a0});
   ReplyWriter reply(1);
-  reply.action(TellPeers{{0x68, 0x69, 0x20, 0x37}});
+  reply.action(SendToPeers{{0x68, 0x69, 0x20, 0x37}});
   EXPECT_EQ(reply.finish(), hex("00000001 00000011 00000001 07 00000008 ffff 0004 68692037"));
 }
 
@@ -88,9 +88,9 @@
   const Batch batch = decode_batch(
       framed(1, hex("08 0000001e 0000000000000001 00000c83 0001 00000007 00 0008 0000000000000000 00")));
   const auto& ended = std::get<Finished>(batch.records[0]).ended;
-  EXPECT_EQ(ended.ending, Ending::full);
+  EXPECT_EQ(ended.ending, AttemptOutcome::full);
   EXPECT_EQ(ended.reason, FullReason::processor);
-  EXPECT_EQ(ended.told_wait, std::chrono::milliseconds{200});
+  EXPECT_EQ(ended.requested_wait, std::chrono::milliseconds{200});
 }
 
 TEST(BadInput, SaysWhatAndWhere) {
