--- a/adapter/decode.cpp
+++ b/adapter/decode.cpp
@@ -89,7 +89,7 @@
   ended.attempt = in.take<std::uint16_t>();
   ended.server = ServerId{in.take<std::uint32_t>()};
   ended.call_ended = in.take<std::uint8_t>() != 0;
-  ended.ending = ending_of(in.take<std::uint16_t>(), in.offset());
+  ended.outcome = ending_of(in.take<std::uint16_t>(), in.offset());
   ended.elapsed = in.take_duration();
   finished.values = in.take_floats();
   switch (why % 16) {
@@ -97,13 +97,13 @@
       ended.reason = FullReason::no_lines;
       break;
     case 2:
-      ended.reason = FullReason::turned_back;
+      ended.reason = FullReason::rejected;
       break;
     case 3:
       ended.reason = FullReason::processor;
       break;
     case 4:
-      ended.number_busy = ended.ending == AttemptOutcome::busy_or_error;
+      ended.number_busy = ended.outcome == AttemptOutcome::busy_or_error;
       break;
     default:
       break;
--- a/adapter/encode.cpp
+++ b/adapter/encode.cpp
@@ -37,7 +37,7 @@
   ActionCode operator()(const SendSetUp& send) const {
     put(out, static_cast<std::uint64_t>(send.call));
     put(out, static_cast<std::uint32_t>(send.server));
-    put(out, raw(send.give_up));
+    put(out, raw(send.expires_at));
     return ActionCode::send_set_up;
   }
   ActionCode operator()(const Refuse& refuse) const {
--- a/bench/module_figures.cpp
+++ b/bench/module_figures.cpp
@@ -111,7 +111,7 @@
     if (const auto* send = std::get_if<SendSetUp>(&action)) {
       ++kinds_["sent"];
       add(static_cast<std::uint64_t>(send->call) * 64 + static_cast<std::uint64_t>(send->server));
-      add(static_cast<std::uint64_t>(send->give_up.time_since_epoch().count()));
+      add(static_cast<std::uint64_t>(send->expires_at.time_since_epoch().count()));
       answer(*send);
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
       ++kinds_["refused"];
@@ -143,16 +143,16 @@
     ended.elapsed = took;
     ended.call_ended = below(100) == 0;
     if (below(20) == 0) ended.report = {.free_lines = static_cast<double>(below(60)), .lines = 100.0};
-    if (fate == 0 || now_ + took > send.give_up) {
-      ended.ending = AttemptOutcome::timeout;
-      ended.elapsed = send.give_up - now_;
+    if (fate == 0 || now_ + took > send.expires_at) {
+      ended.outcome = AttemptOutcome::timeout;
+      ended.elapsed = send.expires_at - now_;
     } else if (fate < 40) {
-      ended.ending =
+      ended.outcome =
           std::array{AttemptOutcome::full, AttemptOutcome::busy_or_error, AttemptOutcome::connect_failed,
                      AttemptOutcome::reset, AttemptOutcome::not_sent}[fate % 5];
       ended.reason = below(2) == 0 ? FullReason::no_lines : FullReason::processor;
-      ended.requested_wait = ended.ending == AttemptOutcome::full ? part(300ms) : Duration{};
-      ended.number_busy = ended.ending == AttemptOutcome::busy_or_error && below(2) == 0;
+      ended.requested_wait = ended.outcome == AttemptOutcome::full ? part(300ms) : Duration{};
+      ended.number_busy = ended.outcome == AttemptOutcome::busy_or_error && below(2) == 0;
     } else {
       return at(now_ + took, CallEstablished{send.call, ended.attempt, send.server, took});
     }
--- a/include/reeltack/actions.h
+++ b/include/reeltack/actions.h
@@ -13,11 +13,11 @@
 
 namespace reeltack {
 
-// Start a set-up of the call at the server; abandon it at give_up. Attempts count from 0 in sending order.
+// Start a set-up of the call at the server; abandon it at expires_at. Attempts count from 0 in sending order.
 struct SendSetUp {
   CallId call{};
   ServerId server{};
-  Time give_up{};
+  Time expires_at{};
 };
 // Final answer: not taken. The caller may dial again, after retry_after if it heeds that (0: no advice).
 struct Refuse {
--- a/include/reeltack/events.h
+++ b/include/reeltack/events.h
@@ -57,7 +57,7 @@
 };
 
 enum class AttemptOutcome { ok, busy_or_error, full, timeout, connect_failed, reset, cancelled, not_sent };
-enum class FullReason { unknown, no_lines, turned_back, processor };
+enum class FullReason { unknown, no_lines, rejected, processor };
 
 struct LoadReport {
   double free_lines = -1.0;  // negative or not a number: not told, here and below
@@ -70,7 +70,7 @@
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId server{};
-  AttemptOutcome ending = AttemptOutcome::ok;
+  AttemptOutcome outcome = AttemptOutcome::ok;
   bool call_ended = false;   // no final answer is owed any more
   bool number_busy = false;  // with busy_or_error: all lines of the number called are taken
   FullReason reason = FullReason::unknown;
@@ -98,12 +98,13 @@
 // What this gateway may do while several return together after a loss; whole each time. Without it: no
 // bounds.
 struct AdmissionLimitsReceived {
-  std::vector<Duration> closed;  // by class: refused at once, to come back in so long; 0 or not there: open
-  struct Pace {
+  std::vector<Duration>
+      retry_after_by_class;  // by class: refused at once, to come back in so long; 0 or not there: open
+  struct SendInterval {
     ServerId server{};
-    Duration apart{};  // at least so long between two set-ups of this gateway while the server is cold
+    Duration min_interval{};  // at least so long between two set-ups of this gateway while the server is cold
   };
-  std::vector<Pace> paces;
+  std::vector<SendInterval> send_intervals;
 };
 
 struct PeerMessageReceived {
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -15,7 +15,7 @@
 FullReason reason_of(const std::string& note) {
   if (note == "blocked") return FullReason::no_lines;
   if (note == "swamped") return FullReason::processor;
-  if (note == "bounced" || note == "far_swamped") return FullReason::turned_back;
+  if (note == "bounced" || note == "far_swamped") return FullReason::rejected;
   return FullReason::unknown;
 }
 
@@ -32,7 +32,7 @@
   event.call = record.request.told.call;
   event.attempt = attempt.number;
   event.server = attempt.office;
-  event.ending = ending;
+  event.outcome = ending;
   event.call_ended = call_ended;
   event.elapsed = now_ - attempt.sent;
   if (told != nullptr) {
--- a/src/core/send.cpp
+++ b/src/core/send.cpp
@@ -31,7 +31,7 @@
   ++counts_.attempts;
   r->out = attempt;
   const Time latest = r->request.told.caller_leaves_at;
-  const Time give_up = wanted.give_up == Time{} ? latest : std::min(wanted.give_up, latest);
+  const Time give_up = wanted.expires_at == Time{} ? latest : std::min(wanted.expires_at, latest);
   if (give_up < latest)  // the deadline has a timer of its own
     timers_.emplace(give_up,
                     Due{Due::Kind::attempt, static_cast<std::uint64_t>(wanted.call), attempt.number, {}});
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms.cpp
@@ -20,9 +20,11 @@
          a.entry.capacity == b.entry.capacity && a.entry.start == b.entry.start;
 }
 bool same(const AdmissionLimitsReceived& a, const AdmissionLimitsReceived& b) {
-  return a.closed == b.closed &&
-         std::equal(a.paces.begin(), a.paces.end(), b.paces.begin(), b.paces.end(),
-                    [](const auto& x, const auto& y) { return x.server == y.server && x.apart == y.apart; });
+  return a.retry_after_by_class == b.retry_after_by_class &&
+         std::equal(a.send_intervals.begin(), a.send_intervals.end(), b.send_intervals.begin(),
+                    b.send_intervals.end(), [](const auto& x, const auto& y) {
+                      return x.server == y.server && x.min_interval == y.min_interval;
+                    });
 }
 
 }  // namespace
@@ -37,7 +39,7 @@
     now.emplace(line.office.id, entry);
     if (line.max_rate < 0.0) continue;
     const double apart = 1.0 / std::max(line.max_rate, 1.0e-6);
-    module.paces.push_back(
+    module.send_intervals.push_back(
         {line.office.id,
          std::min(kLongestApart, std::chrono::duration_cast<Duration>(
                                      std::chrono::duration<double>(std::min(apart, 1.0e6))))});
@@ -52,9 +54,10 @@
     out.offices.back().entry.state = ServerState::gone;
   }
   offices_ = std::move(now);
-  for (const auto& closed : terms.closed) module.closed.push_back(closed.value_or(Duration{}));
-  if (std::all_of(module.closed.begin(), module.closed.end(), [](Duration d) { return d == Duration{}; }))
-    module.closed.clear();
+  for (const auto& closed : terms.closed) module.retry_after_by_class.push_back(closed.value_or(Duration{}));
+  if (std::all_of(module.retry_after_by_class.begin(), module.retry_after_by_class.end(),
+                  [](Duration d) { return d == Duration{}; }))
+    module.retry_after_by_class.clear();
   if (!same(module, module_)) out.module = module_ = std::move(module);
   return out;
 }
--- a/src/policy/list.h
+++ b/src/policy/list.h
@@ -26,10 +26,10 @@
   }
 
   void take(const AdmissionLimitsReceived& terms) {
-    closed_ = terms.closed;
+    closed_ = terms.retry_after_by_class;
     for (auto& [id, s] : servers_) s.pace = Duration{};
-    for (const AdmissionLimitsReceived::Pace& p : terms.paces) {
-      if (Server* s = find_server(p.server)) s->pace = p.apart;
+    for (const AdmissionLimitsReceived::SendInterval& p : terms.send_intervals) {
+      if (Server* s = find_server(p.server)) s->pace = p.min_interval;
     }
   }
 
--- a/src/policy/outcomes.h
+++ b/src/policy/outcomes.h
@@ -49,7 +49,7 @@
 
   // What an ending says of the server.
   void judge(Server& s, const AttemptEnded& ended) {
-    switch (ended.ending) {
+    switch (ended.outcome) {
       case AttemptOutcome::ok:
         return answered(s, ours_off(s, ended.elapsed));
       case AttemptOutcome::full:
@@ -64,7 +64,7 @@
         if (ended.number_busy) return answered(s, ours_off(s, ended.elapsed));
         [[fallthrough]];
       case AttemptOutcome::timeout:  // no answer; once an aim has passed it is a delay all the same
-        s.missed += ended.ending == AttemptOutcome::timeout ? 1 : 0;
+        s.missed += ended.outcome == AttemptOutcome::timeout ? 1 : 0;
         if (ended.elapsed >= shortest_aim_) measure(s, ended.elapsed);
         [[fallthrough]];
       case AttemptOutcome::connect_failed:
@@ -80,15 +80,15 @@
   // Step 5: a set-up answered full goes once to another server with room; all else that failed is final.
   void after_failure(Call& call, const AttemptEnded& ended) {
     const bool effect_matters = set_.classes[call.told.call_class].effect != Effect::repeatable;
-    const bool never_ran = ended.ending == AttemptOutcome::full ||
-                           ended.ending == AttemptOutcome::connect_failed ||
-                           ended.ending == AttemptOutcome::not_sent;
+    const bool never_ran = ended.outcome == AttemptOutcome::full ||
+                           ended.outcome == AttemptOutcome::connect_failed ||
+                           ended.outcome == AttemptOutcome::not_sent;
     if (effect_matters && !never_ran) call.may_have_run = true;
     if (now_ >= call.told.caller_leaves_at || call.may_have_run || ended.number_busy) return fail(call);
     Server* from = find_server(ended.server);
     if (never_ran) {
       Server* other = call.turned_back ? nullptr : rotation(call, kMargin, from);
-      if (ended.ending != AttemptOutcome::connect_failed) call.turned_back = true;
+      if (ended.outcome != AttemptOutcome::connect_failed) call.turned_back = true;
       if (other == nullptr || now_ + other->measured >= due(call)) return refuse(call);
       enqueue(call, *other);
       return;
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -10,7 +10,7 @@
   g.list({ready(10, 0)});
   warm_up(g, 0, 1, 80ms);
   g.arrive(100);
-  const Time give_up = g.sends.back().give_up;
+  const Time give_up = g.sends.back().expires_at;
   EXPECT_LT(give_up, g.now + 1s);
   EXPECT_GE(give_up, g.now + 160ms);
   g.pass(give_up - g.now);
@@ -30,7 +30,7 @@
     g.arrive(id, 0, 0, 8s);
     for (int i = 0; i < 100 && !g.book()[CallId{id}].out; ++i) g.pass(20ms);
     ASSERT_TRUE(g.book()[CallId{id}].out) << id;
-    if (n >= 20) given.push_back(g.sends.back().give_up - g.now);
+    if (n >= 20) given.push_back(g.sends.back().expires_at - g.now);
     g.pass(n < 20 || n == 23 ? 30ms : given.back());
     n < 20 || n == 23 ? g.stands(id) : g.ends(id, AttemptOutcome::timeout);
     if (n >= 20) g.leaves(id);
--- a/tests/fleet/return_world_calls.cpp
+++ b/tests/fleet/return_world_calls.cpp
@@ -136,7 +136,7 @@
   attempts_[key] = a;
   of_call_[static_cast<std::uint64_t>(set_up.call)] = key;
   world_.schedule(kWay, [this, key] { arrives(key); });
-  world_.schedule(std::max<Duration>(set_up.give_up - world_.now(), 1ns),
+  world_.schedule(std::max<Duration>(set_up.expires_at - world_.now(), 1ns),
                   [this, key] { end(key, AttemptOutcome::timeout); });
 }
 
@@ -223,9 +223,9 @@
   told.call = a.call;
   told.attempt = a.number;
   told.server = a.server;
-  told.ending = ending;
+  told.outcome = ending;
   told.call_ended = call_ended;
-  if (ending == AttemptOutcome::full) told.reason = FullReason::turned_back;
+  if (ending == AttemptOutcome::full) told.reason = FullReason::rejected;
   told.elapsed = world_.now() - a.sent;
   tell(a.node, told);
 }
--- a/tests/full_size_test.cpp
+++ b/tests/full_size_test.cpp
@@ -83,11 +83,11 @@
   Gateway g;
   g.list({ready(10, 0)});
   g.arrive(1);
-  EXPECT_GE(g.sends.back().give_up, g.now + 2s);
+  EXPECT_GE(g.sends.back().expires_at, g.now + 2s);
   g.pass(50ms);
   g.stands(1);
   g.arrive(2);
-  EXPECT_LT(g.sends.back().give_up, g.now + 1s);
+  EXPECT_LT(g.sends.back().expires_at, g.now + 1s);
 }
 
 TEST(ShortCallers, AreNotSentWhereTheAnswerWouldComeTooLate) {
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -90,7 +90,7 @@
     on(AttemptEnded{.call = CallId{id},
                     .attempt = e.attempts - 1,
                     .server = e.server,
-                    .ending = ending,
+                    .outcome = ending,
                     .number_busy = busy,
                     .reason = reason,
                     .elapsed = now - e.sent});
@@ -189,7 +189,7 @@
         EXPECT_GE(now - e.released_at, settings_.release_guard) << "rule 5";
       }
       EXPECT_LT(e.attempts, settings_.attempts_cap);
-      EXPECT_LE(send->give_up, e.leaves);
+      EXPECT_LE(send->expires_at, e.leaves);
       e.out = true;
       ++e.attempts;
       e.server = send->server;
--- a/tests/gateway_fleet.h
+++ b/tests/gateway_fleet.h
@@ -90,7 +90,7 @@
       sends_.emplace_back(server, g.now);
       const bool lost = silent == server;
       out_[i].push_back({static_cast<std::uint64_t>(s.call), server,
-                         lost ? s.give_up : g.now + std::chrono::milliseconds(100), lost});
+                         lost ? s.expires_at : g.now + std::chrono::milliseconds(100), lost});
     }
   }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -25,7 +25,7 @@
   g.list({ready(10, 0)});
   g.arrive(1, 0, 0, 300ms);
   ASSERT_EQ(g.sends.size(), 1U);
-  EXPECT_LE(g.sends[0].give_up, g.now + 300ms);
+  EXPECT_LE(g.sends[0].expires_at, g.now + 300ms);
   g.pass(300ms);
   g.ends(1, AttemptOutcome::timeout);
   EXPECT_EQ(g.failed, std::vector<std::uint64_t>{1});
@@ -143,8 +143,9 @@
   g.list({ready(10, 0)});
   g.arrive(1);
   g.on(CallEstablished{CallId{99}, 0, ServerId{10}, 1ms});
-  g.on(AttemptEnded{.call = CallId{98}, .server = ServerId{77}, .ending = AttemptOutcome::reset});
-  g.on(AttemptEnded{.call = CallId{1}, .attempt = 9, .server = ServerId{10}, .ending = AttemptOutcome::full});
+  g.on(AttemptEnded{.call = CallId{98}, .server = ServerId{77}, .outcome = AttemptOutcome::reset});
+  g.on(
+      AttemptEnded{.call = CallId{1}, .attempt = 9, .server = ServerId{10}, .outcome = AttemptOutcome::full});
   g.on(CallerLeft{CallId{97}});
   g.on(TimerFired{TimerToken{12345}});
   g.on(ServerReported{.server = ServerId{55}, .report = {.free_lines = 0.0}});
--- a/tests/slow_start/world.cpp
+++ b/tests/slow_start/world.cpp
@@ -118,28 +118,28 @@
   FakeServer& server = servers_.at(static_cast<std::uint32_t>(set_up.server));
   AttemptEnded ended{.call = set_up.call, .attempt = attempt, .server = set_up.server};
   if (!server.up) {
-    ended.ending = AttemptOutcome::connect_failed;
+    ended.outcome = AttemptOutcome::connect_failed;
     return end_later(i, 2 * kNetwork, ended);
   }
   const Time begins = std::max(server.busy_until, now_ + kNetwork);
   if (begins > now_ + kLongestQueue) {
-    ended.ending = AttemptOutcome::full;
+    ended.outcome = AttemptOutcome::full;
     ended.reason = FullReason::processor;
     return end_later(i, 2 * kNetwork, ended);
   }
   const double warm = server.started == Time{} ? 1.0 : warmth(plan_.settings, now_ - server.started);
   server.busy_until = begins + from_seconds(work / mean_work_ / (server.capacity * warm));
   const Time answered = server.busy_until + kNetwork;
-  if (answered > set_up.give_up) {
-    ended.ending = AttemptOutcome::timeout;
-    return end_later(i, set_up.give_up - now_, ended);
+  if (answered > set_up.expires_at) {
+    ended.outcome = AttemptOutcome::timeout;
+    return end_later(i, set_up.expires_at - now_, ended);
   }
   at(answered, [this, i, life = members_[i].life, start = server.start_number, set_up, attempt, sent = now_] {
     Member& member = members_[i];
     if (member.life != life) return;
     if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
       AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
-      lost.ending = AttemptOutcome::reset;
+      lost.outcome = AttemptOutcome::reset;
       lost.elapsed = now_ - sent;
       lost.call_ended = !member.open.contains(set_up.call);
       return hand_over(i, life, lost);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -77,7 +77,7 @@
       framed(1, hex("08 0000001e 000336245d3a91c4 00000000 0000 03124a07 01 0000 00000000011a49a0 00")));
   const auto& finished = std::get<Finished>(batch.records[0]).ended;
   EXPECT_TRUE(finished.call_ended);
-  EXPECT_EQ(finished.ending, AttemptOutcome::ok);
+  EXPECT_EQ(finished.outcome, AttemptOutcome::ok);
   EXPECT_EQ(finished.elapsed, Duration{0x11a49a0});
   ReplyWriter reply(1);
   reply.action(SendToPeers{{0x68, 0x69, 0x20, 0x37}});
@@ -88,7 +88,7 @@
   const Batch batch = decode_batch(
       framed(1, hex("08 0000001e 0000000000000001 00000c83 0001 00000007 00 0008 0000000000000000 00")));
   const auto& ended = std::get<Finished>(batch.records[0]).ended;
-  EXPECT_EQ(ended.ending, AttemptOutcome::full);
+  EXPECT_EQ(ended.outcome, AttemptOutcome::full);
   EXPECT_EQ(ended.reason, FullReason::processor);
   EXPECT_EQ(ended.requested_wait, std::chrono::milliseconds{200});
 }
