--- a/include/reeltack/actions.h
+++ b/include/reeltack/actions.h
@@ -1,7 +1,6 @@
-// reeltack: what a Controller asks its gateway to do, to be carried out in order and at once.
+// The actions that a Controller returns to its gateway, to be carried out at once and in order.
 //
-// Owns the types of actions alone: plain values that belong to the sink they were appended to. Times are the
-// gateway's own.
+// Plain values: they belong to the sink to which they were appended. All times are on the gateway's clock.
 #pragma once
 
 #include <cstdint>
@@ -13,46 +12,51 @@
 
 namespace reeltack {
 
-// Start a set-up of the call at the server; abandon it at expires_at. Attempts count from 0 in sending order.
+/// Start a set-up of the call at the server and abandon it at `expires_at`. The attempts of a call are
+/// numbered from 0 in the order in which they are sent.
 struct SendSetUp {
   CallId call{};
   ServerId server{};
   Time expires_at{};
 };
-// Final answer: not taken. The caller may dial again, after retry_after if it heeds that (0: no advice).
+/// Final answer: the call was not accepted. `retry_after` advises the caller when to dial again; 0: no
+/// advice.
 struct Refuse {
   CallId call{};
   Duration retry_after{};
 };
-// Final answer: tried in vain; the call may have had an effect.
+/// Final answer: the call was attempted without success. It may nevertheless have had an effect at a server.
 struct Fail {
   CallId call{};
 };
-// Stop waiting for an attempt; its AttemptEnded still follows.
+/// Stop waiting for an attempt. Its AttemptEnded must still follow.
 struct CancelAttempt {
   CallId call{};
   std::uint32_t attempt = 0;
 };
-// Hand back TimerFired at that time or soon after. Timers are not taken back.
+/// Report TimerFired with this token at this time or soon after. A timer is never cancelled.
 struct SetTimer {
   Time at{};
   TimerToken token{};
 };
-// Check a server; ServerReported follows.
+/// Check a server; the gateway answers with ServerReported.
 struct ProbeServer {
   ServerId server{};
 };
 struct CloseIdleConnections {
   ServerId server{};
 };
+/// Send these bytes to the other gateways.
 struct SendToPeers {
   std::vector<std::uint8_t> bytes;
 };
+/// Subscribe to the list of servers, or end the subscription.
 struct SubscribeToServerList {
   bool on = true;
 };
+/// Request the list of servers once.
 struct FetchServerList {};
-// A line for the gateway's log, for on-call staff.
+/// A line for the gateway's log, written for on-call staff.
 struct LogLine {
   std::string text;
 };
--- a/include/reeltack/controller.h
+++ b/include/reeltack/controller.h
@@ -1,13 +1,13 @@
-// reeltack: the interface of the decision module.
+// The interface of the decision module.
 //
-// One Controller decides for one gateway. The gateway hands it events in the order in which they happen and
-// carries out the actions that it appends, in their order, at once.
+// One Controller decides for one gateway. The gateway reports events in the order in which they happen, and
+// carries out the actions that the Controller appends, at once and in order.
 //
-// Ownership: the Controller copies what it needs; events and settings may go out of scope after the call. The
-//   sink belongs to the caller, is appended to and never read. Nothing is kept of it between calls.
-// Clock: every event carries the gateway's own time, which must never go backwards. No clock is read.
-// Randomness: from the seed alone. Equal settings, seed and events give equal actions.
-// Threads: a Controller is used by one thread at a time; Controllers share nothing with each other.
+// Ownership: the Controller copies what it needs, so events and settings need not outlive the call. The sink
+//   belongs to the caller; the Controller appends to it, never reads it and keeps no reference to it.
+// Clock: the Controller reads no clock. Each call passes the gateway's own time, which must never go
+// backwards. Randomness: comes from the seed alone. Equal settings, seeds and events give equal actions.
+// Threads: a Controller may be used by one thread at a time. Controllers share no state.
 #pragma once
 
 #include <cstddef>
@@ -30,17 +30,18 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Take all that came since the last turn, in its order, and append what is to be done about it. What is
-  // handed in together is decided on together: a gateway that stood still should hand in everything it finds
-  // at once.
+  /// Handles all events since the previous call, in their order, and appends the resulting actions. Events
+  /// of one call are decided on together: a gateway that was paused should report all that it finds waiting
+  /// in a single call.
   void on(Time now, std::span<const Event> events, ActionSink& actions);
-  // The same for a single event.
+  /// The same for a single event.
   void on(Time now, const Event& event, ActionSink& actions);
 
-  // Calls that still wait for an answer of this gateway, sent or not; for supervision and tests.
+  /// Calls that still wait for this gateway's final answer, whether or not an attempt has been sent. For
+  /// supervision and tests.
   [[nodiscard]] std::size_t open_calls() const;
 
-  // What it decides by, as it holds it; for whoever compares it with what was asked for. Never changes.
+  /// The settings in force, so that a caller can compare them with those requested. They never change.
   [[nodiscard]] const Settings& settings() const;
 
  private:
--- a/include/reeltack/events.h
+++ b/include/reeltack/events.h
@@ -1,7 +1,7 @@
-// reeltack: what a gateway tells its Controller.
+// The events that a gateway reports to its Controller.
 //
-// Owns the types of events alone: plain values, which the Controller copies. What they mean for a call is not
-// decided here. Times are the gateway's own; a field that was not told keeps the value that stands here.
+// Plain values, which the Controller copies. All times are on the gateway's clock. A field whose value the
+// gateway does not know keeps its default.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace reeltack {
 
-// Names a server's process by its start: Unix time in milliseconds, 0 where it was not told. Two starts of a
-// server are told apart by it; it is no Time. The Controller does not use it.
+/// Identifies one run of a server process by its start: Unix time in milliseconds; 0: unknown. It
+/// distinguishes two starts of a server and is not a Time. The Controller does not use it.
 enum class StartId : std::uint64_t {};
 
 enum class ServerState { gone, ready, draining };
@@ -21,19 +21,20 @@
 struct ServerEntry {
   ServerId server{};
   std::uint32_t place = 0;  // number of the pool or exchange
-  double capacity = 1.0;    // to compare with others; no unit
+  double capacity = 1.0;    // relative to other servers; no unit
   ServerState state = ServerState::ready;
-  Time started_at{};  // clock's epoch: long ago
+  Time started_at{};  // the clock's epoch means long ago
   StartId start{};
 };
 
-// The servers that the gateway is told of. A complete list replaces all; otherwise only the entries change.
+/// Servers known to the gateway. A complete list replaces the previous one; otherwise only the entries given
+/// here change.
 struct ServerListReceived {
   bool complete = false;
   std::vector<ServerEntry> entries;
 };
 
-// Asking for the list failed or the subscription broke; the list held stays in force.
+/// Requesting the list failed, or the subscription broke. The previous list stays in force.
 struct ServerListFailed {};
 
 struct CallArrived {
@@ -45,10 +46,11 @@
   Time caller_leaves_at{};  // a final answer is due by then
   std::uint32_t destination = 0;
   bool redial = false;
-  bool in_transit = false;      // may go to its destination only
-  bool dropped_before = false;  // a standing call that was cut and comes again
+  bool in_transit = false;      // may be sent to its destination only
+  bool dropped_before = false;  // repeats an established call that was dropped
 };
 
+/// The set-up succeeded; no final answer is due any more.
 struct CallEstablished {
   CallId call{};
   std::uint32_t attempt = 0;
@@ -57,10 +59,12 @@
 };
 
 enum class AttemptOutcome { ok, busy_or_error, full, timeout, connect_failed, reset, cancelled, not_sent };
+/// Why a server answered that it is full.
 enum class FullReason { unknown, no_lines, rejected, processor };
 
+/// Load of a server as it reports it. A negative value or a NaN means that the value was not reported.
 struct LoadReport {
-  double free_lines = -1.0;  // negative or not a number: not told, here and below
+  double free_lines = -1.0;
   double lines = -1.0;
   double wait_ms = -1.0;
   double hold_back = -1.0;
@@ -71,10 +75,10 @@
   std::uint32_t attempt = 0;
   ServerId server{};
   AttemptOutcome outcome = AttemptOutcome::ok;
-  bool call_ended = false;   // no final answer is owed any more
-  bool number_busy = false;  // with busy_or_error: all lines of the number called are taken
+  bool call_ended = false;   // no final answer is due any more
+  bool number_busy = false;  // with busy_or_error: all lines of the called number are in use
   FullReason reason = FullReason::unknown;
-  Duration requested_wait{};  // with full: the server asks to be left alone for so long
+  Duration requested_wait{};  // with full: the server asks for no set-ups during this time
   Duration elapsed{};
   LoadReport report{};
 };
@@ -87,7 +91,7 @@
   TimerToken token{};
 };
 
-// The answer to a probe, or (unasked) a change in free lines.
+/// The answer to a probe, or an unrequested report of a change in free lines.
 struct ServerReported {
   ServerId server{};
   bool ok = true;
@@ -95,14 +99,16 @@
   LoadReport report{};
 };
 
-// What this gateway may do while several return together after a loss; whole each time. Without it: no
-// bounds.
+/// Limits on this gateway while several gateways recover together from an outage. Each event replaces all
+/// earlier limits; until the first one there are none.
 struct AdmissionLimitsReceived {
-  std::vector<Duration>
-      retry_after_by_class;  // by class: refused at once, to come back in so long; 0 or not there: open
+  /// By class: calls are refused at once, with the advice to retry after this time. 0, or no element for the
+  /// class: the class is open.
+  std::vector<Duration> retry_after_by_class;
+  /// While the server is cold, this gateway sends it at most one set-up per interval.
   struct SendInterval {
     ServerId server{};
-    Duration min_interval{};  // at least so long between two set-ups of this gateway while the server is cold
+    Duration min_interval{};
   };
   std::vector<SendInterval> send_intervals;
 };
--- a/src/policy/choice.h
+++ b/src/policy/choice.h
@@ -1,111 +1,120 @@
-// Step 3: the server that a call is bound to, and the queue in which it waits there, or for the list. A queue
-// is changed by put and take_out alone. Sends and refuses nothing.
+// Step 3: selects the server to which a call is bound, and queues the call there, or until a server list
+// comes. Queues are changed by insert() and remove() alone. This layer sends and refuses nothing.
 #pragma once
 
 #include "policy/tests.h"
 
 namespace reeltack::policy {
 
-// f of step 3: lower, since a line idle now while another queue is long is capacity lost for good.
-constexpr double kSpill = 0.3;
-// A server with less than this part of its lines free is being filled up; 0.35 was no better.
-constexpr double kFewLines = 0.2;
+// "f" of step 3. Lower than kAimMargin, since a line idle beside another server's long queue is lost
+// capacity.
+constexpr double kSpillFraction = 0.3;
+// A server with less than this fraction of its lines free is treated as filling up; 0.35 was no better.
+constexpr double kFewLinesFraction = 0.2;
 
-struct Choice : Tests {
-  [[nodiscard]] bool open_to(const Call& call, const Server& s) const {
-    if (!listed_ready(s)) return false;
-    const std::uint32_t place = s.told.place;
-    if (set_.own_place >= 0 && place == static_cast<std::uint64_t>(set_.own_place)) return false;
-    if (call.told.in_transit) return place == call.told.destination;
-    const auto& places = set_.classes[call.told.call_class].places;
-    return set_.shape == Shape::mesh || places.empty() ||
+struct ServerSelection : Eligibility {
+  [[nodiscard]] bool is_open_to(const Call& call, const Server& s) const {
+    if (!is_ready(s)) return false;
+    const std::uint32_t place = s.entry.place;
+    if (settings_.own_place >= 0 && place == static_cast<std::uint64_t>(settings_.own_place)) return false;
+    if (call.request.in_transit) return place == call.request.destination;
+    const auto& places = settings_.classes[call.request.call_class].places;
+    return settings_.shape == Shape::mesh || places.empty() ||
            std::find(places.begin(), places.end(), place) != places.end();
   }
 
-  // First choice if it has lines and passes the test; else the rotation over those that do; else any open.
+  // The first choice if it has free lines and passes the time test; else round robin over the servers that
+  // pass it; else any server open to the call.
   void bind(Call& call) {
     Server* first = nullptr;
     Server* any = nullptr;
-    Server* unsuited = nullptr;
+    Server* unfit = nullptr;
     for (auto& [id, s] : servers_) {
-      if (!open_to(call, s)) continue;
-      if (!suits(call, s)) {
-        unsuited = &s;
+      if (!is_open_to(call, s)) continue;
+      if (!fits_class_mix(call, s)) {
+        unfit = &s;
         continue;
       }
-      if (s.told.place == call.told.destination) first = &s;
+      if (s.entry.place == call.request.destination) first = &s;
       if (any == nullptr || delay(s) < delay(*any)) any = &s;
-      // A turn at a cold server lapses soon: the next call takes it.
-      if (cold(s) && !s.slot && s.queue.empty() && has_room(call, s, kSpill)) return enqueue(call, s);
+      // A send slot at a cold server expires soon, so the next call takes it.
+      if (is_cold(s) && !s.pending && s.queue.empty() && would_be_in_time(call, s, kSpillFraction))
+        return enqueue(call, s);
     }
-    if (first != nullptr && worth_trying(*first) > uniform() && has_room(call, *first, kSpill))
+    if (first != nullptr && availability(*first) > uniform() &&
+        would_be_in_time(call, *first, kSpillFraction))
       return enqueue(call, *first);
-    for (const double f : {kSpill, kMargin}) {
-      if (Server* other = rotation(call, f, nullptr)) return enqueue(call, *other);
+    for (const double fraction : {kSpillFraction, kAimMargin}) {
+      if (Server* other = next_in_rotation(call, fraction, nullptr)) return enqueue(call, *other);
     }
-    if (first == nullptr || held(*first)) first = any != nullptr ? any : unsuited;
-    if (first == nullptr) return wait_unbound(call);
+    if (first == nullptr || held_back(*first)) first = any != nullptr ? any : unfit;
+    if (first == nullptr) return enqueue_unbound(call);
     enqueue(call, *first);
   }
 
-  // Smooth weighted round robin over the servers with room.
-  // EXCEPTION (slowed server): a server's share falls with its measured delay against the quickest.
-  Server* rotation(const Call& call, double f, const Server* except) {
+  // Smooth weighted round robin over the servers that would answer in time.
+  // EXCEPTION (slowed server): a server's share falls as its measured delay grows relative to the quickest.
+  Server* next_in_rotation(const Call& call, double fraction, const Server* except) {
     Server* best = nullptr;
     double total = 0.0;
     double quickest = 0.0;
-    std::vector<Server*> able;
+    std::vector<Server*> candidates;
     for (auto& [id, s] : servers_) {
-      if (&s == except || !open_to(call, s) || !suits(call, s) || !has_room(call, s, f)) continue;
-      able.push_back(&s);
-      const double took = std::max(seconds(s.measured), 1.0e-6);
-      quickest = quickest == 0.0 ? took : std::min(quickest, took);
+      if (&s == except || !is_open_to(call, s) || !fits_class_mix(call, s) ||
+          !would_be_in_time(call, s, fraction))
+        continue;
+      candidates.push_back(&s);
+      const double server_delay = std::max(seconds(s.mean_delay), 1.0e-6);
+      quickest = quickest == 0.0 ? server_delay : std::min(quickest, server_delay);
     }
-    for (Server* s : able) {
-      const double weight = size(*s) * worth_trying(*s) * quickest / std::max(seconds(s->measured), 1.0e-6);
-      s->turn += s->turn == 0.0 ? weight * uniform() : weight;  // no two gateways start alike
+    for (Server* s : candidates) {
+      const double weight =
+          relative_size(*s) * availability(*s) * quickest / std::max(seconds(s->mean_delay), 1.0e-6);
+      // The random start keeps gateways from all beginning with the same server.
+      s->credit += s->credit == 0.0 ? weight * uniform() : weight;
       total += weight;
-      if (best == nullptr || s->turn > best->turn) best = s;
+      if (best == nullptr || s->credit > best->credit) best = s;
     }
-    if (best != nullptr) best->turn -= total;
+    if (best != nullptr) best->credit -= total;
     return best;
   }
 
-  // EXCEPTION (few lines left): what is told of free lines is old, and all go by it. The fewer are free, the
-  // fewer calls it gets, so that it is not filled to the last one.
-  // EXCEPTION (answers lost, resets, quick errors): likewise the fewer of its attempts are answered, for a
-  // server that fails at once looks idle and would draw the calls of all.
-  [[nodiscard]] static double worth_trying(const Server& s) {
-    return std::max(std::min(s.free_part / kFewLines, 1.0) * s.good * s.good, 0.01);
+  // EXCEPTION (few lines left): reports of free lines are old, and all gateways act on the same ones. The
+  // fewer lines are free, the fewer calls the server gets, so that it is not filled to the last line.
+  // EXCEPTION (lost answers, resets, quick errors): likewise, the fewer of its attempts are answered, since a
+  // server that fails at once looks idle and would attract the calls of all gateways.
+  [[nodiscard]] static double availability(const Server& s) {
+    return std::max(
+        std::min(s.free_fraction / kFewLinesFraction, 1.0) * s.answered_fraction * s.answered_fraction, 0.01);
   }
 
   void enqueue(Call& call, Server& s) {
-    call.bound = s.told.server;
-    put(call, s.queue);
+    call.bound_to = s.entry.server;
+    insert(call, s.queue);
   }
 
-  // EXCEPTION (no server listed): calls wait unbound for the list, under the same tests of time.
-  void wait_unbound(Call& call) {
-    note("no server open to a call: it waits for the list");
-    call.bound.reset();
-    put(call, unbound_);
+  // EXCEPTION (no server listed): calls wait unbound for the list, under the same time limits.
+  void enqueue_unbound(Call& call) {
+    log("no server open to a call: it waits for the list");
+    call.bound_to.reset();
+    insert(call, unbound_);
   }
 
-  void put(Call& call, Queue& queue) {
-    call.state = State::waiting;
-    queue.levels[call.level].emplace(call.order, call.told.call);
-    queue.due.emplace(last_start(call), call.order);
-    by_order_.emplace(call.order, call.told.call);
+  void insert(Call& call, Queue& queue) {
+    call.state = CallState::waiting;
+    queue.levels[call.level].emplace(call.arrival_order, call.request.call);
+    queue.by_latest_send.emplace(latest_send(call), call.arrival_order);
+    waiting_.emplace(call.arrival_order, call.request.call);
   }
 
-  void take_out(const Call& call) {
-    Queue& queue = call.bound ? servers_.at(*call.bound).queue : unbound_;
-    queue.levels[call.level].erase(call.order);
-    queue.due.erase({last_start(call), call.order});
-    by_order_.erase(call.order);
+  void remove(const Call& call) {
+    Queue& queue = call.bound_to ? servers_.at(*call.bound_to).queue : unbound_;
+    queue.levels[call.level].erase(call.arrival_order);
+    queue.by_latest_send.erase({latest_send(call), call.arrival_order});
+    waiting_.erase(call.arrival_order);
   }
 
-  std::map<std::uint64_t, CallId> by_order_;  // those that wait
+  std::map<std::uint64_t, CallId> waiting_;  // all queued calls by order of arrival
   Queue unbound_;
 };
 
--- a/src/policy/finals.h
+++ b/src/policy/finals.h
@@ -1,88 +1,97 @@
-// Final answers and their advice; callers that were turned away and numbers found busy. A call ends here,
-// once, and leaves its queue by that; no other step answers a caller.
+// Final answers with their retry advice, and the memory of refused callers and of numbers found busy. A call
+// ends here, exactly once, and thereby leaves its queue; no other layer answers a caller.
 #pragma once
 
 #include "policy/choice.h"
 
 namespace reeltack::policy {
 
-constexpr int kLateAims = 2;  // callers whose aim is lost are asked to stay away for about so many
+// Callers that cannot meet their aim any more are advised to stay away for about this many aims.
+constexpr int kLateRetryAims = 2;
 
-struct Finals : Choice {
-  void refuse_unqueued(const Call& call) { out_->emplace_back(Refuse{call.told.call, come_back(call)}); }
+struct FinalAnswers : ServerSelection {
+  void refuse_unqueued(const Call& call) {
+    actions_->emplace_back(Refuse{call.request.call, retry_after(call)});
+  }
 
-  // EXCEPTION (service returns): what the terms do not open yet is refused as it comes, not queued.
-  [[nodiscard]] Duration closed(const Call& call) const {
-    return call.told.call_class < closed_.size() ? closed_[call.told.call_class] : Duration{};
+  // EXCEPTION (recovery after an outage): a call of a class that the admission limits still close is refused
+  // on arrival and not queued. Returns 0 if the class is open.
+  [[nodiscard]] Duration closed_for(const Call& call) const {
+    return call.request.call_class < retry_after_by_class_.size()
+               ? retry_after_by_class_[call.request.call_class]
+               : Duration{};
   }
 
-  // When to dial again, where the settings allow such advice: once the first server open to the call is due
-  // to have room. If that is too late for its aim there is no hurry: such callers are spread over some aims.
-  [[nodiscard]] Duration come_back(const Call& call) {
-    if (!set_.may_advise_retry || call.told.call_class >= set_.classes.size()) return Duration{};
-    Duration room = set_.retry_advice_cap;
+  // When to dial again, where the settings allow such advice: once the first server open to the call is
+  // expected to accept one. If that is too late for the call's aim there is no hurry: such callers are spread
+  // over some aims.
+  [[nodiscard]] Duration retry_after(const Call& call) {
+    if (!settings_.may_advise_retry || call.request.call_class >= settings_.classes.size()) return Duration{};
+    Duration wait = settings_.retry_advice_cap;
     for (const auto& [id, s] : servers_) {
-      if (!open_to(call, s)) continue;
+      if (!is_open_to(call, s)) continue;
       const Duration queue =
-          from_seconds(static_cast<double>(s.queue.count_to(call.level)) * seconds(delay(s)));
-      room = std::min(room, std::max({queue, s.rests_until - now_, s.no_lines_until - now_}));
+          from_seconds(static_cast<double>(s.queue.count_through(call.level)) * seconds(delay(s)));
+      wait = std::min(wait, std::max({queue, s.backoff_until - now_, s.no_lines_until - now_}));
     }
-    room = std::max({room, look_again(), closed(call)});
-    const bool in_time = !call.late && now_ + room + look_again() < due(call);
-    return std::min(set_.retry_advice_cap, in_time ? room : std::max(room, spread(kLateAims * call.aim)));
+    wait = std::max({wait, recheck_interval(), closed_for(call)});
+    const bool in_time = !call.late && now_ + wait + recheck_interval() < aim_ends_at(call);
+    return std::min(settings_.retry_advice_cap,
+                    in_time ? wait : std::max(wait, jittered(kLateRetryAims * call.aim)));
   }
 
   void refuse(Call& call) {
     if (call.may_have_run) return fail(call);
     end(call);
     refuse_unqueued(call);
-    calls_.erase(call.told.call);
+    calls_.erase(call.request.call);
   }
 
   void fail(Call& call) {
     end(call);
-    out_->emplace_back(Fail{call.told.call});
-    calls_.erase(call.told.call);
+    actions_->emplace_back(Fail{call.request.call});
+    calls_.erase(call.request.call);
   }
 
   void end(const Call& call) {
-    remember_turned_away(call);
-    if (call.state == State::waiting && by_order_.contains(call.order)) take_out(call);
+    remember_first_try(call);
+    if (call.state == CallState::waiting && waiting_.contains(call.arrival_order)) remove(call);
   }
 
-  void take(const CallerLeft& left) {
-    const auto found = calls_.find(left.call);
-    left_.insert(left.call);  // perhaps it came in this very turn
+  void handle(const CallerLeft& event) {
+    const auto found = calls_.find(event.call);
+    callers_left_.insert(event.call);  // the call may have arrived in this same step
     if (found == calls_.end()) return;
     end(found->second);
     calls_.erase(found);
   }
 
-  void remember_turned_away(const Call& call) {
-    if (call.told.number == CalledNumber{}) return;
-    if (!turned_away_.emplace(call.told.number, call.first_tried).second) return;
-    forget_at_.emplace_back(now_ + set_.classes[call.told.call_class].deadline, call.told.number);
-    while (!forget_at_.empty() && forget_at_.front().first <= now_) {
-      turned_away_.erase(forget_at_.front().second);
-      forget_at_.pop_front();
+  void remember_first_try(const Call& call) {
+    if (call.request.number == CalledNumber{}) return;
+    if (!first_try_at_.emplace(call.request.number, call.first_tried_at).second) return;
+    first_try_expiry_.emplace_back(now_ + settings_.classes[call.request.call_class].deadline,
+                                   call.request.number);
+    while (!first_try_expiry_.empty() && first_try_expiry_.front().first <= now_) {
+      first_try_at_.erase(first_try_expiry_.front().second);
+      first_try_expiry_.pop_front();
     }
   }
 
-  // EXCEPTION (number found busy): a call to it within an aim is refused; later ones take the lowest level.
-  void note_busy(CalledNumber number) {
+  // EXCEPTION (number found busy): a call to it within an aim is refused; later ones get the lowest level.
+  void remember_busy(CalledNumber number) {
     if (number == CalledNumber{}) return;
-    std::erase_if(busy_numbers_, [this](const auto& entry) { return now_ - entry.second > set_.ramp; });
+    std::erase_if(busy_numbers_, [this](const auto& entry) { return now_ - entry.second > settings_.ramp; });
     busy_numbers_[number] = now_;
   }
-  [[nodiscard]] bool found_busy_just_now(CalledNumber number) const {
+  [[nodiscard]] bool recently_busy(CalledNumber number) const {
     const auto found = busy_numbers_.find(number);
     return found != busy_numbers_.end() && now_ < found->second + shortest_aim_;
   }
 
   std::map<CalledNumber, Time> busy_numbers_;
-  std::unordered_map<CalledNumber, Time> turned_away_;  // when they first tried
-  std::deque<std::pair<Time, CalledNumber>> forget_at_;
-  std::set<CallId> left_;  // in this turn
+  std::unordered_map<CalledNumber, Time> first_try_at_;  // of callers whose call was not established
+  std::deque<std::pair<Time, CalledNumber>> first_try_expiry_;
+  std::set<CallId> callers_left_;  // in this step
 };
 
 }  // namespace reeltack::policy
--- a/src/policy/list.h
+++ b/src/policy/list.h
@@ -1,44 +1,47 @@
-// The list of servers: asks for it, takes it, binds anew what waits at one that left. Takes no other news.
+// The list of servers and the admission limits: requests and applies the list, and rebinds calls that wait at
+// a server that is no longer ready. Handles no other event.
 #pragma once
 
 #include "policy/outcomes.h"
 
 namespace reeltack::policy {
 
-struct List : Outcomes {
-  void take(const ServerListReceived& list) {
-    asked_ = true;
+struct ServerList : OutcomeHandling {
+  void handle(const ServerListReceived& list) {
+    list_requested_ = true;
     if (list.complete) {
       for (auto& [id, s] : servers_) {
-        const bool kept = std::any_of(list.entries.begin(), list.entries.end(),
-                                      [known = id](const ServerEntry& e) { return e.server == known; });
-        if (!kept) s.told.state = ServerState::gone;
+        const bool listed = std::any_of(list.entries.begin(), list.entries.end(),
+                                        [known = id](const ServerEntry& e) { return e.server == known; });
+        if (!listed) s.entry.state = ServerState::gone;
       }
     }
-    for (const ServerEntry& entry : list.entries) servers_[entry.server].told = entry;
-    note_shares();  // what waits is bound anew by them
+    for (const ServerEntry& entry : list.entries) servers_[entry.server].entry = entry;
+    update_shares();  // before waiting calls are rebound, which uses the shares
     for (auto& [id, s] : servers_) {
-      if (!listed_ready(s)) move_away(s);
+      if (!is_ready(s)) rebind_queue(s);
     }
     rebind_unbound();
-    std::erase_if(noted_,
-                  [&](const auto& n) { return now_ > n.second + 2 * std::max(set_.ramp, shortest_aim_); });
+    std::erase_if(logged_at_, [&](const auto& logged) {
+      return now_ > logged.second + 2 * std::max(settings_.ramp, shortest_aim_);
+    });
   }
 
-  void take(const AdmissionLimitsReceived& terms) {
-    closed_ = terms.retry_after_by_class;
-    for (auto& [id, s] : servers_) s.pace = Duration{};
-    for (const AdmissionLimitsReceived::SendInterval& p : terms.send_intervals) {
-      if (Server* s = find_server(p.server)) s->pace = p.min_interval;
+  void handle(const AdmissionLimitsReceived& limits) {
+    retry_after_by_class_ = limits.retry_after_by_class;
+    for (auto& [id, s] : servers_) s.min_send_interval = Duration{};
+    for (const AdmissionLimitsReceived::SendInterval& i : limits.send_intervals) {
+      if (Server* s = find_server(i.server)) s->min_send_interval = i.min_interval;
     }
   }
 
-  void bind_anew(Call& call) {
-    take_out(call);
+  void rebind(Call& call) {
+    remove(call);
     bind(call);
   }
-  void move_away(Server& s) {
-    while (!s.queue.due.empty()) bind_anew(calls_.at(by_order_.at(s.queue.due.begin()->second)));
+  void rebind_queue(Server& s) {
+    while (!s.queue.by_latest_send.empty())
+      rebind(calls_.at(waiting_.at(s.queue.by_latest_send.begin()->second)));
   }
 
   void rebind_unbound() {
@@ -46,25 +49,25 @@
     for (const auto& level : unbound_.levels) {
       for (const auto& [order, id] : level) all.push_back(id);
     }
-    for (const CallId id : all) bind_anew(calls_.at(id));
+    for (const CallId id : all) rebind(calls_.at(id));
   }
 
-  void forget_gone() {
-    const auto idle = [](const Server& s) { return !s.slot && s.queue.empty(); };
+  void erase_gone_servers() {
+    const auto idle = [](const Server& s) { return !s.pending && s.queue.empty(); };
     std::erase_if(servers_,
-                  [&](const auto& e) { return e.second.told.state == ServerState::gone && idle(e.second); });
+                  [&](const auto& e) { return e.second.entry.state == ServerState::gone && idle(e.second); });
   }
 
-  void take(const ServerListFailed& /*failed*/) { asked_ = false; }
-  void ask_for_list() {
-    if (now_ < ask_again_) return;
-    asked_ = true;
-    ask_again_ = now_ + part_of(set_.must_ask_in, 0.1 + 0.1 * uniform());
-    out_->emplace_back(SubscribeToServerList{true});
+  void handle(const ServerListFailed& /*failed*/) { list_requested_ = false; }
+  void request_list() {
+    if (now_ < next_request_at_) return;
+    list_requested_ = true;
+    next_request_at_ = now_ + scaled(settings_.must_ask_in, 0.1 + 0.1 * uniform());
+    actions_->emplace_back(SubscribeToServerList{true});
   }
 
-  bool asked_ = false;
-  Time ask_again_{};
+  bool list_requested_ = false;
+  Time next_request_at_{};
 };
 
 }  // namespace reeltack::policy
--- a/src/policy/shared.h
+++ b/src/policy/shared.h
@@ -1,5 +1,5 @@
-// What every step knows: settings, the time told, random numbers, calls, servers and the rates of what was
-// seen. Decides nothing; no step keeps a second copy of what stands here.
+// State and helpers that every layer of the decision module uses: settings, the current time, random numbers,
+// calls, servers and observed rates. This layer takes no decision; no other layer keeps a copy of its data.
 #pragma once
 
 #include <algorithm>
@@ -15,152 +15,159 @@
 
 namespace reeltack::policy {
 
-// Levels: 0 top, 1 urgent, the rest by worth, each worth half the one above.
+// Priority levels: 0 is the top, 1 is urgent; below, by worth, each level worth half of the one above it.
 constexpr std::size_t kLevels = 10;
-constexpr std::size_t kTop = 0;
-constexpr std::size_t kUrgent = 1;
-constexpr std::size_t kLowest = kLevels - 1;  // numbers found busy
-constexpr std::size_t kLate = kLevels - 2;    // callers whose aim has passed
-constexpr double kLookAgain = 0.025;          // of the shortest aim: then a waiting call is looked at again
-constexpr double kLeast = 4.0;  // set-ups of all gateways, taken for before any is seen. Not measured.
+constexpr std::size_t kTopLevel = 0;
+constexpr std::size_t kUrgentLevel = 1;
+constexpr std::size_t kLowestLevel = kLevels - 1;  // calls to numbers that were found busy
+constexpr std::size_t kLateLevel = kLevels - 2;    // calls whose aim has passed
+// Interval at which waiting calls are checked again, as a fraction of the shortest aim.
+constexpr double kRecheckFraction = 0.025;
+// Set-ups of all gateways that a rate assumes at least, for the time before any has been observed.
+constexpr double kAssumedSetUps = 4.0;
 
 inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline Duration from_seconds(double s) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::clamp(s, 0.0, 1.0e9)));
 }
-inline Duration part_of(Duration d, double part) { return from_seconds(seconds(d) * part); }
+inline Duration scaled(Duration d, double factor) { return from_seconds(seconds(d) * factor); }
 
-enum class State { waiting, guarded, sent };
+// `guarded`: waits for the end of the release guard before it may be sent again.
+enum class CallState { waiting, guarded, sent };
 
 struct Call {
-  CallArrived told;
-  Time arrived{};
-  Time first_tried{};  // when its caller first tried, as far as this gateway saw
-  bool late = false;   // the aim had run out when it arrived
+  CallArrived request;
+  Time arrived_at{};
+  Time first_tried_at{};  // first try of its caller, as far as this gateway observed it
+  bool late = false;      // the aim had passed when the call arrived
   Duration aim{};
-  std::size_t level = kLowest;
-  State state = State::waiting;
-  std::optional<ServerId> bound;
+  std::size_t level = kLowestLevel;
+  CallState state = CallState::waiting;
+  std::optional<ServerId> bound_to;
   std::uint32_t attempts = 0;
-  std::uint64_t order = 0;  // place in the order of arrival
+  std::uint64_t arrival_order = 0;
 
-  Time not_before{};         // release guard
-  bool turned_back = false;  // answered full once
-  bool may_have_run = false;
+  Time not_before{};           // end of the release guard
+  bool answered_full = false;  // one server has already answered that it is full
+  bool may_have_run = false;   // an attempt may have had an effect
 };
 
-// Set-ups that wait for one server, by level, oldest first.
+// Calls that wait for one server, by level, oldest first.
 struct Queue {
   std::array<std::map<std::uint64_t, CallId>, kLevels> levels;
-  std::set<std::pair<Time, std::uint64_t>> due;  // when the aim's margin is used up, for those below the top
+  // By the latest time at which the call may still be sent (see latest_send()), then by arrival.
+  std::set<std::pair<Time, std::uint64_t>> by_latest_send;
 
-  [[nodiscard]] std::size_t count_to(std::size_t level) const {
+  [[nodiscard]] std::size_t count_through(std::size_t level) const {
     std::size_t n = 0;
     for (std::size_t j = 0; j <= level; ++j) n += levels[j].size();
     return n;
   }
-  [[nodiscard]] bool empty() const { return count_to(kLowest) == 0; }
+  [[nodiscard]] bool empty() const { return count_through(kLowestLevel) == 0; }
 };
 
-struct Slot {
+// The one unanswered set-up of this gateway at a server.
+struct PendingSetUp {
   CallId call{};
   std::uint32_t attempt = 0;
-  Time sent{};
+  Time sent_at{};
 };
 
 struct Server {
-  ServerEntry told;
+  ServerEntry entry;
   Queue queue;
-  std::optional<Slot> slot;
-  Duration measured{};       // delta t measured; nought until the first answer
-  Duration deviation{};      // mean, of the answers from it
-  std::uint32_t missed = 0;  // attempts without an answer, in a row
+  std::optional<PendingSetUp> pending;
+  Duration mean_delay{};         // "delta t measured" of the paper; zero until the first answer
+  Duration mean_deviation{};     // of the answers from mean_delay
+  std::uint32_t unanswered = 0;  // consecutive attempts without an answer
   Time measured_at{};
-  Time last_good{};   // when it last did what it was asked
-  double turn = 0.0;  // credit in the weighted rotation
-
-  Time no_lines_until{};       // shows no free line for this gateway
-  double lines = 0.0;          // as last told; 0: never told
-  double free_part = 1.0;      // of these
-  double good = 1.0;           // part of the attempts that were answered at all, of late
-  std::uint32_t failures = 0;  // in a row
-  Time rests_until{};
-  Time turn_at{};   // this gateway's next turn there
-  Time turn_of{};   // the start of the server that it is kept for
-  Duration pace{};  // by the terms: between two turns while it is cold, at the least
+  Time last_success_at{};  // when an attempt there last succeeded
+  double credit = 0.0;     // in the weighted round robin
+
+  Time no_lines_until{};           // no free line for this gateway until then
+  double lines = 0.0;              // as last reported; 0: never reported
+  double free_fraction = 1.0;      // of these lines
+  double answered_fraction = 1.0;  // moving average of the attempts that were answered at all
+  std::uint32_t failures = 0;      // consecutive
+  Time backoff_until{};
+  Time next_send_at{};           // this gateway's next send slot at the server
+  Time send_slot_start{};        // start of the server for which next_send_at was set
+  Duration min_send_interval{};  // required by the admission limits while the server is cold
 };
 
-// So many a second over the last ramp, fading; a gateway that has run for less takes what it has seen.
+// A count of events that decays exponentially with the ramp as time constant; see per_second().
 struct Rate {
   double count = 0.0;
-  Time counted{};
+  Time updated_at{};
 };
 
-struct Shared {
-  [[nodiscard]] static bool listed_ready(const Server& s) { return s.told.state == ServerState::ready; }
+struct SharedState {
+  [[nodiscard]] static bool is_ready(const Server& s) { return s.entry.state == ServerState::ready; }
 
   Server* find_server(ServerId id) {
     const auto found = servers_.find(id);
     return found == servers_.end() ? nullptr : &found->second;
   }
 
-  [[nodiscard]] Duration look_again() const {
-    return std::max({set_.tick, part_of(shortest_aim_, kLookAgain), Duration{1000}});
+  [[nodiscard]] Duration recheck_interval() const {
+    return std::max({settings_.tick, scaled(shortest_aim_, kRecheckFraction), Duration{1000}});
   }
 
-  [[nodiscard]] double fade(const Rate& r) const {
-    return r.count * std::exp(-seconds(now_ - r.counted) / std::max(seconds(set_.ramp), 1.0e-9));
+  [[nodiscard]] double decayed(const Rate& r) const {
+    return r.count * std::exp(-seconds(now_ - r.updated_at) / std::max(seconds(settings_.ramp), 1.0e-9));
   }
-  void count(Rate& r, double by = 1.0) const { r = {fade(r) + by, now_}; }
-  // `unit`: what each of its set-ups was counted by.
-  [[nodiscard]] double a_second(const Rate& r, double unit = 1.0) const {
-    const double over = std::max(seconds(set_.ramp), 1.0e-9);
-    // Never nought: in the first turn, without a rule on cold servers, the rate would not be a number.
-    const double ran = std::max({seconds(now_ - began_), seconds(set_.fall_span), 0.001});
-    return std::max(fade(r), unit * kLeast / set_.gateways) / (over * (1.0 - std::exp(-ran / over)));
+  void add(Rate& r, double amount = 1.0) const { r = {decayed(r) + amount, now_}; }
+  // `unit`: the amount by which one set-up was counted. A gateway that has run for less than a ramp divides
+  // by the time that it has run.
+  [[nodiscard]] double per_second(const Rate& r, double unit = 1.0) const {
+    const double over = std::max(seconds(settings_.ramp), 1.0e-9);
+    // Never zero: in the first step, without a rule for cold servers, the rate would not be a number.
+    const double elapsed = std::max({seconds(now_ - first_step_at_), seconds(settings_.fall_span), 0.001});
+    return std::max(decayed(r), unit * kAssumedSetUps / settings_.gateways) /
+           (over * (1.0 - std::exp(-elapsed / over)));
   }
 
-  // A line for on-call staff, at most one for a symptom (and server) in a ramp's time.
-  void note(const std::string& symptom) {
-    const auto [told, first] = noted_.try_emplace(symptom, now_);
-    if (!first && now_ < told->second + std::max(set_.ramp, shortest_aim_)) return;
-    told->second = now_;
-    out_->emplace_back(LogLine{symptom});
+  // Writes a line for on-call staff, at most once per ramp for each symptom (and server).
+  void log(const std::string& symptom) {
+    const auto [entry, first] = logged_at_.try_emplace(symptom, now_);
+    if (!first && now_ < entry->second + std::max(settings_.ramp, shortest_aim_)) return;
+    entry->second = now_;
+    actions_->emplace_back(LogLine{symptom});
   }
-  void note(const char* symptom, const Server& s) {
-    note("server " + std::to_string(static_cast<std::uint32_t>(s.told.server)) + " " + symptom);
+  void log(const char* symptom, const Server& s) {
+    log("server " + std::to_string(static_cast<std::uint32_t>(s.entry.server)) + " " + symptom);
   }
 
-  // SplitMix64: a small generator whose numbers are the same on every machine.
+  // SplitMix64: a small generator that gives the same numbers on every machine.
   double uniform() {
-    random_ += 0x9e3779b97f4a7c15ULL;
-    std::uint64_t z = random_;
+    random_state_ += 0x9e3779b97f4a7c15ULL;
+    std::uint64_t z = random_state_;
     z = (z ^ (z >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27U)) * 0x94d049bb133111ebULL;
     return static_cast<double>((z ^ (z >> 31U)) >> 11U) * 0x1.0p-53;
   }
-  // Around so long, not in step.
-  [[nodiscard]] Duration spread(Duration d) { return part_of(d, 0.5 + uniform()); }
+  // Between half and one and a half times `d`, so that gateways do not act in step.
+  [[nodiscard]] Duration jittered(Duration d) { return scaled(d, 0.5 + uniform()); }
 
-  Settings set_;
-  std::uint64_t random_ = 0;
+  Settings settings_;
+  std::uint64_t random_state_ = 0;
   Time now_{};
-  ActionSink* out_ = nullptr;
-  Time began_{};
-  Time heard_{};       // when it last had a turn
-  Duration paused_{};  // how long it may have stood still before this turn
+  ActionSink* actions_ = nullptr;
+  Time first_step_at_{};
+  Time last_step_at_{};
+  Duration pause_{};  // how long this gateway may have been paused before this step
   Duration shortest_aim_{};
-  std::map<ServerId, Server> servers_;  // ordered: equal events must give equal actions
+  std::map<ServerId, Server> servers_;  // ordered, since equal events must give equal actions
   std::unordered_map<CallId, Call> calls_;
-  std::vector<Duration> closed_;  // by the terms and class: come back in so long
-  std::map<std::string, Time> noted_;
+  std::vector<Duration> retry_after_by_class_;  // from the admission limits
+  std::map<std::string, Time> logged_at_;
   Rate first_tries_;
-  Rate stood_;
-  Rate stood_by_size_;       // each counted by 1 / able_size_, as that was then
-  double total_size_ = 0.0;  // of the ready servers
-  double able_size_ = 0.0;   // the same, a cold one by the part of its share that it is sent
+  Rate established_;
+  Rate established_by_size_;  // each call counted by 1 / usable_size_ at that time
+  double total_size_ = 0.0;   // of the ready servers
+  double usable_size_ = 0.0;  // the same, a cold server reduced to the fraction of its share that it is sent
   std::map<std::uint32_t, Rate> class_tries_;
-  std::map<std::uint32_t, Rate> class_stood_;
+  std::map<std::uint32_t, Rate> class_established_;
 };
 
 }  // namespace reeltack::policy
--- a/src/policy/tests.h
+++ b/src/policy/tests.h
@@ -1,149 +1,161 @@
-// What a server takes to answer and may be sent, and whether a call at it would be in time. Keeps the turns
-// at cold and unknown servers, and the shares. Sends, queues and answers nothing.
+// Expected delays of servers, whether a call would be answered in time at a server, and what a server may be
+// sent: send slots at cold and unknown servers, and shares of the load. This layer sends, queues and answers
+// nothing.
 #pragma once
 
 #include "policy/shared.h"
 
 namespace reeltack::policy {
 
-// f, the margin in both tests: a tenth of the aim is left for what the measurement does not see.
-constexpr double kMargin = 0.9;
-constexpr double kMemory = 2.0;  // half-life of a measurement, in own share intervals. No other measured.
-// A server is known to be quick if it answered in this part of the shortest aim; 0.3 lost 0.01 to 0.03.
-constexpr double kSoon = 0.2;
-// Else it gets so many times this gateway's own share at the most; 1.5 left small quick servers half empty.
-constexpr double kShares = 2.5;
-constexpr double kColdPart = 0.7;  // of the cold server's told budget, for all gateways together
-// A turn there lapses after this part of the told span: 0.7 * (1 + 0.25) of the budget at once at the most.
-constexpr double kColdLapse = 0.25;
+// "f" of the paper, the margin in both tests: leaves a tenth of the aim for what is not measured.
+constexpr double kAimMargin = 0.9;
+constexpr double kDelayHalfLife = 2.0;  // of a measured delay, in this gateway's own share intervals
+// A server that answered within this fraction of the shortest aim is known to be quick. A value of 0.3 lost
+// 0.01 to 0.03.
+constexpr double kQuickFraction = 0.2;
+// Any other server gets at most this multiple of this gateway's own share. A value of 1.5 left small quick
+// servers half empty.
+constexpr double kMaxShares = 2.5;
+// Fraction of the budget of a cold server that all gateways together may use.
+constexpr double kColdFraction = 0.7;
+// A send slot at a cold server expires after this fraction of fall_span, so that at most 0.7 * (1 + 0.25) of
+// the budget is sent at once.
+constexpr double kColdSlotLifetime = 0.25;
 constexpr double kGoldenRatio = 0.6180339887498949;
 
-struct Tests : Shared {
-  // The measured delay, or the age of the unanswered set-up if that is more.
-  // EXCEPTION (silent or stuck server): a set-up without answer is itself a measurement.
+struct Eligibility : SharedState {
+  // The measured delay, or the age of the unanswered set-up if that is greater.
+  // EXCEPTION (silent or stuck server): an unanswered set-up is itself a measurement.
   [[nodiscard]] Duration delay(const Server& s) const {
-    return s.slot ? std::max(aged(s), now_ - s.slot->sent) : aged(s);
+    return s.pending ? std::max(decayed_delay(s), now_ - s.pending->sent_at) : decayed_delay(s);
   }
-  // EXCEPTION (few and old measurements): half of it is forgotten with each own share interval (an aim at the
-  // least), so that a server once found slow is tried again, gently.
-  [[nodiscard]] Duration aged(const Server& s) const {
-    const double life = kMemory * seconds(std::max(shortest_aim_, own_share_interval(s)));
-    return part_of(s.measured, std::exp2(-seconds(now_ - s.measured_at) / std::max(life, 1.0e-9)));
+  // EXCEPTION (few and old measurements): the measured delay halves every kDelayHalfLife own share intervals
+  // (each at least an aim), so that a server once found slow is tried again, gradually.
+  [[nodiscard]] Duration decayed_delay(const Server& s) const {
+    const double half_life = kDelayHalfLife * seconds(std::max(shortest_aim_, own_share_interval(s)));
+    return scaled(s.mean_delay, std::exp2(-seconds(now_ - s.measured_at) / std::max(half_life, 1.0e-9)));
   }
 
-  // Would this call, queued at the server, be answered within part f of its aim, before its caller leaves?
-  [[nodiscard]] bool has_room(const Call& call, Server& s, double f) {
-    if (held(s)) return false;
-    const auto ahead = static_cast<double>(s.queue.count_to(call.level) + 1);
-    return ahead * seconds(delay(s)) < seconds(std::min(call.aim, call.told.caller_leaves_at - now_)) * f;
+  // Whether this call, queued at the server, would be answered within `fraction` of its aim and before its
+  // caller leaves.
+  [[nodiscard]] bool would_be_in_time(const Call& call, Server& s, double fraction) {
+    if (held_back(s)) return false;
+    const auto ahead = static_cast<double>(s.queue.count_through(call.level) + 1);
+    return ahead * seconds(delay(s)) <
+           seconds(std::min(call.aim, call.request.caller_leaves_at - now_)) * fraction;
   }
 
-  [[nodiscard]] static Time due(const Call& call) {
-    return (call.late ? call.arrived : call.first_tried) + part_of(call.aim, kMargin);
+  [[nodiscard]] static Time aim_ends_at(const Call& call) {
+    return (call.late ? call.arrived_at : call.first_tried_at) + scaled(call.aim, kAimMargin);
   }
 
-  // When a waiting call is refused at the latest: tau f, or (top level) in time for its caller.
-  [[nodiscard]] Time last_start(const Call& call) const {
-    const Time latest = call.told.caller_leaves_at - 2 * look_again();
-    return call.level == kTop ? latest : std::min(latest, due(call));
+  // When a waiting call is refused at the latest: at tau * f, or (top level) in time for its caller.
+  [[nodiscard]] Time latest_send(const Call& call) const {
+    const Time before_leaving = call.request.caller_leaves_at - 2 * recheck_interval();
+    return call.level == kTopLevel ? before_leaving : std::min(before_leaving, aim_ends_at(call));
   }
 
-  // One unanswered set-up per server; not while it rests, nor past a cold server's budget.
-  [[nodiscard]] bool may_take(Server& s) { return listed_ready(s) && !s.slot && !held(s); }
-  [[nodiscard]] bool held(Server& s) {
-    return now_ < s.rests_until || now_ < s.no_lines_until || !has_turn(s);
+  // One unanswered set-up per server; none during a back-off or beyond a cold server's budget.
+  [[nodiscard]] bool can_accept(Server& s) { return is_ready(s) && !s.pending && !held_back(s); }
+  [[nodiscard]] bool held_back(Server& s) {
+    return now_ < s.backoff_until || now_ < s.no_lines_until || !has_send_slot(s);
   }
 
-  [[nodiscard]] bool cold(const Server& s) const {
-    return set_.fall_span > Duration{} && s.told.started_at > Time{} && now_ < s.told.started_at + set_.ramp;
+  [[nodiscard]] bool is_cold(const Server& s) const {
+    return settings_.fall_span > Duration{} && s.entry.started_at > Time{} &&
+           now_ < s.entry.started_at + settings_.ramp;
   }
 
-  // So many times its share a cold server is sent at its age; below 1 while it can't take a whole one.
+  // Multiple of its share that a cold server is sent at its age; below 1 while it cannot take a full share.
   [[nodiscard]] double cold_shares(const Server& s) const {
-    const double age = seconds(now_ - s.told.started_at) / std::max(seconds(set_.ramp), 1.0e-9);
-    const double warm = set_.cold_from + (1.0 - set_.cold_from) * std::clamp(age, 0.0, 1.0) * 0.5;
-    return kColdPart * set_.fall_multiple * warm;
+    const double age = seconds(now_ - s.entry.started_at) / std::max(seconds(settings_.ramp), 1.0e-9);
+    const double warmth = settings_.cold_from + (1.0 - settings_.cold_from) * std::clamp(age, 0.0, 1.0) * 0.5;
+    return kColdFraction * settings_.fall_multiple * warmth;
   }
 
-  // EXCEPTION (cold server): sends are paced so that all gateways together stay under the told budget. This
-  // one's part is its own long-run first tries, spread over the servers. It grows at half of a straight ramp;
-  // a turn not taken lapses, or those saved up by hundreds would be spent in one blow. EXCEPTION (server not
-  // known to be quick): without an answer of late that came soon, some times the own share, less by the
-  // delay.
-  [[nodiscard]] Duration turn_interval(const Server& s) const {
-    const double over = seconds(delay(s)) / std::max(kSoon * seconds(shortest_aim_), 1.0e-9);
-    double shares = kShares / std::max(over * over, 1.0);
-    if (cold(s)) shares = std::min(shares, cold_shares(s));
-    // Of the first tries no more count than servers of its size answered, also those that have gone since: a
-    // fleet that cannot take them all is no measure.
+  // EXCEPTION (cold server): sends are spaced so that all gateways together stay under the configured budget.
+  // This gateway's part follows from its own long-run rate of first tries, spread over the servers. It grows
+  // at half the slope of a linear ramp. An unused send slot expires, since slots saved up by hundreds of
+  // gateways would all be used at the same moment.
+  //
+  // EXCEPTION (server not known to be quick): without a recent quick answer it gets a few times the own
+  // share, and less the longer its delay.
+  [[nodiscard]] Duration send_interval(const Server& s) const {
+    const double slowness = seconds(delay(s)) / std::max(kQuickFraction * seconds(shortest_aim_), 1.0e-9);
+    double shares = kMaxShares / std::max(slowness * slowness, 1.0);
+    if (is_cold(s)) shares = std::min(shares, cold_shares(s));
+    // At a cold server, first tries count only up to the rate of calls that servers of its size established,
+    // including servers that have gone since: a fleet that cannot take all first tries is no measure.
     double share_interval = seconds(own_share_interval(s));
-    if (cold(s)) share_interval = std::max(share_interval, 1.0 / (size(s) * stood_by_size_a_second_));
+    if (is_cold(s))
+      share_interval = std::max(share_interval, 1.0 / (relative_size(s) * established_per_size_));
     const Duration own = from_seconds(share_interval / std::max(shares, 1.0e-9));
-    return cold(s) ? std::max(own, s.pace) : own;
-  }
-  [[nodiscard]] bool quick_of_late(const Server& s) const {
-    return now_ < s.measured_at + shortest_aim_ && s.measured < part_of(shortest_aim_, kSoon);
-  }
-  bool has_turn(Server& s) {
-    if (!cold(s) && quick_of_late(s)) return true;
-    const Duration interval = turn_interval(s);
-    const Duration lapse = cold(s) ? part_of(set_.fall_span, kColdLapse) : interval;
-    const bool fresh = s.turn_of != s.told.started_at;
-    if (fresh || now_ > s.turn_at + lapse) {
-      s.turn_of = s.told.started_at;
-      s.turn_at = now_ + part_of(interval, uniform()) - (fresh && cold(s) ? Duration{} : lapse);
+    return is_cold(s) ? std::max(own, s.min_send_interval) : own;
+  }
+  [[nodiscard]] bool recently_quick(const Server& s) const {
+    return now_ < s.measured_at + shortest_aim_ && s.mean_delay < scaled(shortest_aim_, kQuickFraction);
+  }
+  bool has_send_slot(Server& s) {
+    if (!is_cold(s) && recently_quick(s)) return true;
+    const Duration interval = send_interval(s);
+    const Duration lifetime = is_cold(s) ? scaled(settings_.fall_span, kColdSlotLifetime) : interval;
+    const bool restarted = s.send_slot_start != s.entry.started_at;
+    if (restarted || now_ > s.next_send_at + lifetime) {
+      s.send_slot_start = s.entry.started_at;
+      s.next_send_at = now_ + scaled(interval, uniform()) - (restarted && is_cold(s) ? Duration{} : lifetime);
     }
-    // What was drawn when less was known of arrivals, or the delay was worse, is cut down.
-    if (s.turn_at > now_ + 2 * interval) s.turn_at = now_ + spread(interval);
-    return now_ >= s.turn_at;
-  }
-  // EXCEPTION (cold server, classes that differ in work): its budget is one of work, which is not told. So of
-  // each class it gets no larger a part than is answered; by the mix of arrivals it would get what the others
-  // refuse. The golden ratio picks calls evenly without a random number.
-  [[nodiscard]] bool suits(const Call& call, const Server& s) const {
-    if (!cold(s)) return true;
-    const auto part = class_parts_.find(call.told.call_class);
-    return part == class_parts_.end() ||
-           std::fmod(static_cast<double>(call.order) * kGoldenRatio, 1.0) < part->second;
-  }
-  // The part of each class that is answered, compared with the class answered best.
-  void note_class_parts() {
-    double most = 0.0;
+    // A slot drawn when fewer arrivals were known or the delay was longer is moved to an earlier time.
+    if (s.next_send_at > now_ + 2 * interval) s.next_send_at = now_ + jittered(interval);
+    return now_ >= s.next_send_at;
+  }
+  // EXCEPTION (cold server, classes that differ in work): the budget is one of work, but the work of a class
+  // is not known here. So of each class the server gets no larger a fraction than is answered elsewhere; by
+  // the mix of arrivals it would get mainly what the other servers refuse. Multiples of the golden ratio
+  // select calls evenly without a random number.
+  [[nodiscard]] bool fits_class_mix(const Call& call, const Server& s) const {
+    if (!is_cold(s)) return true;
+    const auto fraction = class_fractions_.find(call.request.call_class);
+    return fraction == class_fractions_.end() ||
+           std::fmod(static_cast<double>(call.arrival_order) * kGoldenRatio, 1.0) < fraction->second;
+  }
+  // The fraction of each class that is answered, relative to the class answered best.
+  void update_class_fractions() {
+    double best = 0.0;
     for (const auto& [id, tries] : class_tries_) {
-      const auto stood = class_stood_.find(id);
-      const double answered = stood == class_stood_.end() ? 0.0 : fade(stood->second);
-      class_parts_[id] = answered / std::max(fade(tries), 1.0e-9);
-      most = std::max(most, class_parts_[id]);
+      const auto established = class_established_.find(id);
+      const double answered = established == class_established_.end() ? 0.0 : decayed(established->second);
+      class_fractions_[id] = answered / std::max(decayed(tries), 1.0e-9);
+      best = std::max(best, class_fractions_[id]);
     }
-    for (auto& [id, part] : class_parts_) part = most > 0.0 ? part / most : 1.0;
+    for (auto& [id, fraction] : class_fractions_) fraction = best > 0.0 ? fraction / best : 1.0;
   }
-  // The mean time between this gateway's first tries to a server, were they spread by size.
+  // The mean time between this gateway's first tries to a server if they were distributed by size.
   [[nodiscard]] Duration own_share_interval(const Server& s) const {
-    return from_seconds(std::max(total_size_ / size(s), 1.0) / tries_a_second_);
+    return from_seconds(std::max(total_size_ / relative_size(s), 1.0) / first_tries_per_second_);
   }
-  // What a server can take, compared with others: its told capacity and, where they are told, its lines.
-  [[nodiscard]] double size(const Server& s) const {
-    return std::max(s.told.capacity, 1.0e-6) * (s.lines > 0.0 ? s.lines : usual_lines_);
+  // What a server can take, compared with others: its listed capacity times its lines, as far as reported.
+  [[nodiscard]] double relative_size(const Server& s) const {
+    return std::max(s.entry.capacity, 1.0e-6) * (s.lines > 0.0 ? s.lines : mean_lines_);
   }
-  void note_shares() {
+  void update_shares() {
     total_size_ = 0.0;
-    able_size_ = 0.0;
+    usable_size_ = 0.0;
     bool any_cold = false;
     for (const auto& [id, s] : servers_) {
-      if (!listed_ready(s)) continue;
-      total_size_ += size(s);
-      any_cold = any_cold || cold(s);
-      able_size_ += size(s) * (cold(s) ? std::min(cold_shares(s), 1.0) : 1.0);
+      if (!is_ready(s)) continue;
+      total_size_ += relative_size(s);
+      any_cold = any_cold || is_cold(s);
+      usable_size_ += relative_size(s) * (is_cold(s) ? std::min(cold_shares(s), 1.0) : 1.0);
     }
-    if (any_cold) note_class_parts();
-    tries_a_second_ = a_second(first_tries_);
-    stood_by_size_a_second_ = a_second(stood_by_size_, 1.0 / std::max(able_size_, 1.0e-6));
+    if (any_cold) update_class_fractions();
+    first_tries_per_second_ = per_second(first_tries_);
+    established_per_size_ = per_second(established_by_size_, 1.0 / std::max(usable_size_, 1.0e-6));
   }
 
-  double usual_lines_ = 1.0;
-  std::map<std::uint32_t, double> class_parts_;  // by class, as last noted while a server was cold
-  double tries_a_second_ = 0.0;
-  double stood_by_size_a_second_ = 0.0;
+  double mean_lines_ = 1.0;                          // of the servers that reported theirs
+  std::map<std::uint32_t, double> class_fractions_;  // by class, as of the last step with a cold server
+  double first_tries_per_second_ = 0.0;
+  double established_per_size_ = 0.0;  // calls per second and unit of size
 };
 
 }  // namespace reeltack::policy
