--- a/adapter/decode.cpp
+++ b/adapter/decode.cpp
@@ -1,4 +1,4 @@
-// Decoding of batches.
+// Decodes batches: the frame header, then each record by its code.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -11,14 +11,15 @@
 
 namespace {
 
-constexpr std::size_t kRecordHeader = 5;  // code and length
+constexpr std::size_t kRecordHeaderBytes = 5;  // code and length
 
-std::uint32_t whole(float value) {
+// Truncates to an integer; values out of range and NaN become the nearest bound or 0.
+std::uint32_t to_uint32(float value) {
   if (!(value >= 0.0F)) return 0;
   return value >= 4294967040.0F ? UINT32_MAX : static_cast<std::uint32_t>(value);
 }
 
-AttemptOutcome ending_of(std::uint16_t code, std::size_t offset) {
+AttemptOutcome outcome_of(std::uint16_t code, std::size_t offset) {
   switch (code) {
     case 0:
       return AttemptOutcome::ok;
@@ -37,7 +38,8 @@
     case 14:
       return AttemptOutcome::connect_failed;
     default:
-      throw WireError("unknown ending " + std::to_string(code) + " before byte " + std::to_string(offset));
+      throw WireError("unknown attempt outcome " + std::to_string(code) + " before byte " +
+                      std::to_string(offset));
   }
 }
 
@@ -46,7 +48,7 @@
   list.number = in.take<std::uint8_t>();
   const auto count = in.take<std::uint32_t>();
   constexpr std::size_t kEntryBytes = 22;
-  list.entries.reserve(std::min<std::size_t>(count, in.left() / kEntryBytes));
+  list.entries.reserve(std::min<std::size_t>(count, in.remaining() / kEntryBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
     ServerEntry entry;
     in.take<std::uint16_t>();  // zone
@@ -66,18 +68,18 @@
 CallArrived read_call_arrived(FieldReader& in) {
   CallArrived call;
   call.call = CallId{in.take<std::uint64_t>()};
-  in.take_float();  // lines wanted: the class gives them as well
+  in.take_float();  // lines wanted: the class determines them as well
   call.number = CalledNumber{in.take<std::uint64_t>()};
   call.tenant = in.take<std::uint16_t>();
   call.work_hint = in.take_duration();
   call.caller_leaves_at = in.take_time();
   call.call_class = in.take<std::uint16_t>();
   in.take_float();  // advised route or origin: not used
-  const auto bits = in.take<std::uint8_t>();
-  call.redial = (bits & 2U) != 0;
-  call.in_transit = (bits & 8U) != 0;
-  call.dropped_before = (bits & 16U) != 0;
-  call.destination = whole(in.take_float());
+  const auto flags = in.take<std::uint8_t>();
+  call.redial = (flags & 2U) != 0;
+  call.in_transit = (flags & 8U) != 0;
+  call.dropped_before = (flags & 16U) != 0;
+  call.destination = to_uint32(in.take_float());
   return call;
 }
 
@@ -85,14 +87,14 @@
   Finished finished;
   AttemptEnded& ended = finished.ended;
   ended.call = CallId{in.take<std::uint64_t>()};
-  const auto why = in.take<std::uint32_t>();
+  const auto reason_code = in.take<std::uint32_t>();
   ended.attempt = in.take<std::uint16_t>();
   ended.server = ServerId{in.take<std::uint32_t>()};
   ended.call_ended = in.take<std::uint8_t>() != 0;
-  ended.outcome = ending_of(in.take<std::uint16_t>(), in.offset());
+  ended.outcome = outcome_of(in.take<std::uint16_t>(), in.offset());
   ended.elapsed = in.take_duration();
   finished.values = in.take_floats();
-  switch (why % 16) {
+  switch (reason_code % 16) {
     case 1:
       ended.reason = FullReason::no_lines;
       break;
@@ -108,25 +110,26 @@
     default:
       break;
   }
-  if (ended.reason == FullReason::processor) ended.requested_wait = std::chrono::milliseconds{why / 16};
+  if (ended.reason == FullReason::processor)
+    ended.requested_wait = std::chrono::milliseconds{reason_code / 16};
   return finished;
 }
 
-PeerMessageReceived read_peer_said(FieldReader& in) {
-  PeerMessageReceived said;
-  said.gateway = in.take<std::uint32_t>();
+PeerMessageReceived read_peer_message(FieldReader& in) {
+  PeerMessageReceived message;
+  message.gateway = in.take<std::uint32_t>();
   const auto bytes = in.take_bytes(in.take<std::uint16_t>());
-  said.bytes.assign(bytes.begin(), bytes.end());
-  return said;
+  message.bytes.assign(bytes.begin(), bytes.end());
+  return message;
 }
 
-CallEstablished read_call_stands(FieldReader& in) {
-  CallEstablished stands;
-  stands.call = CallId{in.take<std::uint64_t>()};
-  stands.attempt = in.take<std::uint16_t>();
-  stands.server = ServerId{in.take<std::uint32_t>()};
-  stands.elapsed = in.take_duration();
-  return stands;
+CallEstablished read_call_established(FieldReader& in) {
+  CallEstablished established;
+  established.call = CallId{in.take<std::uint64_t>()};
+  established.attempt = in.take<std::uint16_t>();
+  established.server = ServerId{in.take<std::uint32_t>()};
+  established.elapsed = in.take_duration();
+  return established;
 }
 
 Announce read_announce(FieldReader& in) {
@@ -156,7 +159,7 @@
   return result;
 }
 
-// Nothing: an unknown code, which is passed over.
+// Returns nothing for an unknown code; the caller skips such a record.
 std::optional<Record> read_record(std::uint8_t code, FieldReader& in) {
   switch (static_cast<EventCode>(code)) {
     case EventCode::list:
@@ -166,9 +169,9 @@
     case EventCode::caller_left:
       return CallerLeft{CallId{in.take<std::uint64_t>()}};
     case EventCode::peer_said:
-      return read_peer_said(in);
+      return read_peer_message(in);
     case EventCode::call_stands:
-      return read_call_stands(in);
+      return read_call_established(in);
     case EventCode::announce:
       return read_announce(in);
     case EventCode::launch:
@@ -193,7 +196,8 @@
   FieldReader in(header, 0, "header");
   in.take_bytes(12);
   const auto after_length = in.take<std::uint32_t>();
-  if (after_length < 4) throw WireError("length at byte 12 is under 4: no room for the number of records");
+  if (after_length < 4)
+    throw WireError("length at byte 12 is less than the 4 bytes of the number of records");
   return after_length - 4;
 }
 
@@ -202,9 +206,9 @@
   Batch batch;
   batch.number = in.take<std::uint32_t>();
   batch.now = in.take_time();
-  in.take<std::uint32_t>();  // length: the frame holds just so much
+  in.take<std::uint32_t>();  // length: the frame has exactly that size
   const auto count = in.take<std::uint32_t>();
-  batch.records.reserve(std::min<std::size_t>(count, in.left() / kRecordHeader));
+  batch.records.reserve(std::min<std::size_t>(count, in.remaining() / kRecordHeaderBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
     const auto code = in.take<std::uint8_t>();
     const auto length = in.take<std::uint32_t>();
@@ -212,7 +216,8 @@
     FieldReader fields(in.take_bytes(length), start, "record");
     if (auto record = read_record(code, fields)) batch.records.push_back(std::move(*record));
   }
-  if (in.left() != 0) throw WireError("bytes after the last record, at byte " + std::to_string(in.offset()));
+  if (in.remaining() != 0)
+    throw WireError("bytes after the last record, at byte " + std::to_string(in.offset()));
   return batch;
 }
 
--- a/adapter/encode.cpp
+++ b/adapter/encode.cpp
@@ -1,4 +1,4 @@
-// Encoding of replies.
+// Encodes replies: one record per action, big-endian.
 #include <algorithm>
 
 #include "record_codes.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::uint16_t kAllPeers = 0xffff;  // receiver of a message: every other instance
-constexpr std::size_t kMostPeerBytes = 256;  // of a message to peers
+constexpr std::uint16_t kAllPeers = 0xffff;  // as the receiver of a message: every other instance
+constexpr std::size_t kMaxPeerMessageBytes = 256;
 
 template <typename Int>
 void put(Bytes& out, Int value) {
@@ -18,10 +18,11 @@
   }
 }
 
-std::uint64_t raw(Time time) { return static_cast<std::uint64_t>(time.time_since_epoch().count()); }
+std::uint64_t nanoseconds(Time time) { return static_cast<std::uint64_t>(time.time_since_epoch().count()); }
 
-void put_text(Bytes& out, std::span<const std::uint8_t> text, std::size_t most) {
-  const std::size_t length = std::min(text.size(), most);
+// Appends the length and the text, cut to `max_length` bytes.
+void put_text(Bytes& out, std::span<const std::uint8_t> text, std::size_t max_length) {
+  const std::size_t length = std::min(text.size(), max_length);
   put(out, static_cast<std::uint16_t>(length));
   out.insert(out.end(), text.begin(), text.begin() + static_cast<std::ptrdiff_t>(length));
 }
@@ -30,14 +31,14 @@
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
 }
 
-// Appends the fields of an action and returns its code.
+// Appends the fields of an action to `out` and returns the code of its record.
 struct ActionEncoder {
   Bytes& out;
 
   ActionCode operator()(const SendSetUp& send) const {
     put(out, static_cast<std::uint64_t>(send.call));
     put(out, static_cast<std::uint32_t>(send.server));
-    put(out, raw(send.expires_at));
+    put(out, nanoseconds(send.expires_at));
     return ActionCode::send_set_up;
   }
   ActionCode operator()(const Refuse& refuse) const {
@@ -55,7 +56,7 @@
     return ActionCode::cancel_attempt;
   }
   ActionCode operator()(const SetTimer& timer) const {
-    put(out, raw(timer.at));
+    put(out, nanoseconds(timer.at));
     put(out, static_cast<std::uint64_t>(timer.token));
     return ActionCode::set_timer;
   }
@@ -67,9 +68,9 @@
     put(out, static_cast<std::uint32_t>(close.server));
     return ActionCode::close_idle_connections;
   }
-  ActionCode operator()(const SendToPeers& tell) const {
+  ActionCode operator()(const SendToPeers& message) const {
     put(out, kAllPeers);
-    put_text(out, tell.bytes, kMostPeerBytes);
+    put_text(out, message.bytes, kMaxPeerMessageBytes);
     return ActionCode::tell_peers;
   }
   ActionCode operator()(const LogLine& line) const {
--- a/adapter/field_reader.h
+++ b/adapter/field_reader.h
@@ -1,4 +1,4 @@
-// Reads the fields of a frame, big-endian, and names the byte where they end too early.
+// Reads the big-endian fields of a frame; an error names the byte at which the input ends too early.
 #pragma once
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 
 namespace reeltack::wire {
 
-// Reads bytes that it does not own, in order. Every take throws WireError where too few are left.
+// Reads bytes that it does not own, in order. Each take function throws WireError if too few bytes remain.
 class FieldReader {
  public:
-  // `offset`: of the first byte in the frame; `what` these bytes are, for errors.
+  // `offset`: position of the first of these bytes in the frame; `what`: their name in error texts.
   FieldReader(std::span<const std::uint8_t> bytes, std::size_t offset, const char* what)
       : bytes_(bytes), offset_(offset), what_(what) {}
 
   template <typename Int>
   Int take() {
-    need(sizeof(Int));
+    require(sizeof(Int));
     std::uint64_t value = 0;
-    for (std::size_t i = 0; i < sizeof(Int); ++i) value = value << 8U | bytes_[at_ + i];
-    at_ += sizeof(Int);
+    for (std::size_t i = 0; i < sizeof(Int); ++i) value = value << 8U | bytes_[position_ + i];
+    position_ += sizeof(Int);
     return static_cast<Int>(value);
   }
   float take_float() { return std::bit_cast<float>(take<std::uint32_t>()); }
@@ -35,29 +35,29 @@
   }
   Time take_time() { return Time{take_duration()}; }
   std::span<const std::uint8_t> take_bytes(std::size_t count) {
-    need(count);
-    const auto part = bytes_.subspan(at_, count);
-    at_ += count;
-    return part;
+    require(count);
+    const auto taken = bytes_.subspan(position_, count);
+    position_ += count;
+    return taken;
   }
   std::vector<float> take_floats() {
     std::vector<float> values(take<std::uint8_t>());
     for (float& value : values) value = take_float();
     return values;
   }
-  [[nodiscard]] std::size_t left() const { return bytes_.size() - at_; }
-  [[nodiscard]] std::size_t offset() const { return offset_ + at_; }
+  [[nodiscard]] std::size_t remaining() const { return bytes_.size() - position_; }
+  [[nodiscard]] std::size_t offset() const { return offset_ + position_; }
 
  private:
-  void need(std::size_t count) const {
-    if (left() >= count) return;
-    throw WireError(std::string(what_) + " cut short at byte " + std::to_string(offset()) + ": " +
-                    std::to_string(count) + " bytes wanted, " + std::to_string(left()) + " left");
+  void require(std::size_t count) const {
+    if (remaining() >= count) return;
+    throw WireError(std::string(what_) + " truncated at byte " + std::to_string(offset()) + ": " +
+                    std::to_string(count) + " bytes expected, " + std::to_string(remaining()) + " left");
   }
   std::span<const std::uint8_t> bytes_;
   std::size_t offset_;
   const char* what_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace reeltack::wire
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,5 @@
-// Reads batches from standard input and writes one reply to each on standard output, until the input ends.
+// Reads batches from standard input and writes one reply to each on standard output until the input ends.
+// Messages go to standard error; the exit status is 1 after malformed input or a failed write.
 #include <cstdio>
 #include <exception>
 
@@ -8,22 +9,23 @@
 
 using reeltack::wire::Bytes;
 
-// Bytes read; fewer than wanted only where the input ends.
-std::size_t read_up_to(std::uint8_t* to, std::size_t wanted) { return std::fread(to, 1, wanted, stdin); }
+// Returns the number of bytes read; fewer than `count` only at the end of the input.
+std::size_t read_up_to(std::uint8_t* to, std::size_t count) { return std::fread(to, 1, count, stdin); }
 
-// Read in steps, so that a length that overruns the input costs no more memory than the input has.
-bool read_body(Bytes& frame, std::size_t wanted) {
-  constexpr std::size_t kStep = 1U << 20U;
-  while (wanted > 0) {
-    const std::size_t step = wanted < kStep ? wanted : kStep;
+// Appends `length` bytes to the frame; false if the input ends before. Reads in chunks, so that a length
+// beyond the end of the input allocates no more memory than the input has, up to one chunk.
+bool read_body(Bytes& frame, std::size_t length) {
+  constexpr std::size_t kChunkBytes = 1U << 20U;
+  while (length > 0) {
+    const std::size_t chunk = length < kChunkBytes ? length : kChunkBytes;
     const std::size_t start = frame.size();
-    frame.resize(start + step);
-    const std::size_t got = read_up_to(frame.data() + start, step);
-    if (got < step) {
+    frame.resize(start + chunk);
+    const std::size_t got = read_up_to(frame.data() + start, chunk);
+    if (got < chunk) {
       frame.resize(start + got);
       return false;
     }
-    wanted -= step;
+    length -= chunk;
   }
   return true;
 }
@@ -32,7 +34,7 @@
   using namespace reeltack::wire;
   Host host([](const std::string& line) { std::fprintf(stderr, "reeltack: %s\n", line.c_str()); });
   for (unsigned long long batch = 0;; ++batch) {
-    Bytes frame(kBatchHeader);
+    Bytes frame(kBatchHeaderBytes);
     const std::size_t got = read_up_to(frame.data(), frame.size());
     if (got == 0) return 0;
     if (got < frame.size()) {
--- a/adapter/record_codes.h
+++ b/adapter/record_codes.h
@@ -1,11 +1,11 @@
-// The codes of records on the wire, as the platform numbers them; its own names stand behind.
+// The record codes of the wire, as the platform numbers them. The comments give the platform's own names.
 #pragma once
 
 #include <cstdint>
 
 namespace reeltack::wire {
 
-// In batches.
+// Records in batches.
 enum class EventCode : std::uint8_t {
   list = 0,          // List
   call_arrived = 1,  // Incoming
@@ -21,7 +21,7 @@
   timer_fired = 11,  // DeadlineHit
 };
 
-// In replies.
+// Records in replies.
 enum class ActionCode : std::uint8_t {
   send_set_up = 0,             // Send
   refuse = 1,                  // Decline
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -1,4 +1,5 @@
-// The wire: frames, records and their fields. Encoding and decoding only.
+// The wire between the platform and the adapter: batches of records in, replies out. Encoding and decoding
+// only. Integers are big-endian; times and durations are in nanoseconds.
 #pragma once
 
 #include <cstddef>
@@ -15,37 +16,40 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-// Malformed input; the text says what and at which byte of the frame.
+// Malformed input; the text names the fault and the byte of the frame.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::size_t kBatchHeader = 20;
-inline constexpr std::size_t kReplyHeader = 12;
+inline constexpr std::size_t kBatchHeaderBytes = 20;
+inline constexpr std::size_t kReplyHeaderBytes = 12;
 
-// The instance that the records behind it are for.
+// Names the instance to which the records that follow belong.
 struct About {
   std::uint32_t instance = 0;
 };
-// An instance begins; `params` is the text of its settings.
+// Starts an instance; `params` is the text of its settings.
 struct Launch {
   std::uint64_t seed = 0;
   std::string params;
 };
+// Ends an instance.
 struct Teardown {};
+// Defines a list of servers, to which announcements refer by number.
 struct List {
   std::uint8_t number = 0;
   std::vector<ServerEntry> entries;
 };
 enum class AnnounceForm : std::uint8_t { delta = 0, full = 1, cached = 2, failed = 3 };
-// A list of servers has come, or could not be had.
+// A list of servers was received, or could not be obtained.
 struct Announce {
   std::uint64_t version = 0;
   AnnounceForm form = AnnounceForm::delta;
   std::uint8_t list = 0;
 };
-// Events whose load values have still to be named by the instance's settings.
+// Events with the raw values of a load report; their meaning depends on the columns in the instance's
+// settings.
 struct Finished {
   AttemptEnded ended;
   std::vector<float> values;
@@ -64,19 +68,22 @@
   std::vector<Record> records;
 };
 
-// Bytes that follow the header of a batch.
+// The number of bytes that follow the header of a batch.
 std::uint32_t body_length(std::span<const std::uint8_t> header);
-// A whole frame, header and body. Unknown codes are skipped by their length.
+// Decodes a complete frame, header and body. Records with unknown codes are skipped.
 Batch decode_batch(std::span<const std::uint8_t> frame);
 
 // Collects the records of one reply.
 class ReplyWriter {
  public:
   explicit ReplyWriter(std::uint32_t number) : number_(number) {}
+  // The actions that follow are those of this instance.
   void about(std::uint32_t instance);
   void action(const Action& action);
+  // The instance cannot run; `line` tells the cause.
   void die(const std::string& line);
-  [[nodiscard]] Bytes finish() const;  // the whole frame
+  // Returns the complete frame.
+  [[nodiscard]] Bytes finish() const;
 
  private:
   std::uint32_t number_;
--- a/tests/adapter_host_test.cpp
+++ b/tests/adapter_host_test.cpp
@@ -1,4 +1,4 @@
-// The adapter's host: settings as text, bad input, and many instances on one host.
+// The adapter's host: settings as text, faulty input, and many instances on one host.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -23,7 +23,7 @@
   EXPECT_EQ(parsed.report_columns, (std::vector<std::string>{"free", "size"}));
 }
 
-TEST(SettingsText, FaultsNameTheKeyAndItsValue) {
+TEST(SettingsText, ErrorsNameTheKeyAndItsValue) {
   const auto text = [](const std::string& params) {
     try {
       parse_settings(params);
@@ -58,7 +58,7 @@
 
 void append(Bytes& to, const Bytes& more) { to.insert(to.end(), more.begin(), more.end()); }
 
-TEST(Host, ABadSettingEndsInADieThatNamesIt) {
+TEST(Host, ABadSettingIsAnsweredWithADieRecordThatNamesIt) {
   for (const std::string value : {"none", "0", "-1", "nan"}) {
     Bytes body = about(1);
     append(body, launch(1, "Balancers=" + value + "\n"));
@@ -66,16 +66,16 @@
     const Bytes reply = host.answer(framed(2, body));
     const std::string text(reply.begin(), reply.end());
     EXPECT_NE(text.find("Balancers has a value that cannot be read: " + value), std::string::npos);
-    EXPECT_EQ(reply[kReplyHeader + 9], 9);  // Die follows For
+    EXPECT_EQ(reply[kReplyHeaderBytes + 9], 9);  // a Die record follows the For record
   }
 }
 
-TEST(Host, ComplainsPlainlyAndGoesOn) {
+TEST(Host, LogsEventsThatItCannotHandleAndGoesOn) {
   std::vector<std::string> lines;
   Host host([&](const std::string& line) { lines.push_back(line); });
   Bytes body = about(4);
   append(body, hex("02 00000008 0000000000000001"));
-  EXPECT_EQ(host.answer(framed(2, body)).size(), kReplyHeader);
+  EXPECT_EQ(host.answer(framed(2, body)).size(), kReplyHeaderBytes);
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_NE(lines[0].find("instance 4"), std::string::npos);
   body = about(4);
@@ -86,7 +86,7 @@
   EXPECT_NE(lines[1].find("list 7"), std::string::npos);
 }
 
-TEST(Host, ManyInstancesTogetherActLikeEachAlone) {
+TEST(Host, ManyInstancesTogetherActLikeEachOneAlone) {
   constexpr std::uint8_t kInstances = 5;
   const Bytes list =
       hex("00 00000031 00 00000002 0000 00 3f800000 01 0000 0000000000000000 03124a07 "
@@ -116,15 +116,15 @@
         ++records;
       }
       const Bytes reply = host.answer(framed(records, body, now));
-      // Sort what was written by the instance it was written for.
-      std::uint8_t whose = 0;
-      for (std::size_t at = kReplyHeader; at < reply.size();) {
+      // Collects the actions by the instance that the preceding For record names.
+      std::uint8_t instance = 0;
+      for (std::size_t at = kReplyHeaderBytes; at < reply.size();) {
         const std::size_t length = reply[at + 4] + 256U * reply[at + 3];
         if (reply[at] == 12)
-          whose = reply[at + 8];
+          instance = reply[at + 8];
         else
-          actions[whose].insert(actions[whose].end(), reply.begin() + static_cast<std::ptrdiff_t>(at),
-                                reply.begin() + static_cast<std::ptrdiff_t>(at + 5 + length));
+          actions[instance].insert(actions[instance].end(), reply.begin() + static_cast<std::ptrdiff_t>(at),
+                                   reply.begin() + static_cast<std::ptrdiff_t>(at + 5 + length));
         at += 5 + length;
       }
     }
--- a/tests/attempt_rules_test.cpp
+++ b/tests/attempt_rules_test.cpp
@@ -1,5 +1,5 @@
-// Rules on attempts with the clock told: callers that left, deadlines within the release guard, the most
-// attempts, and the guard itself at several lengths.
+// Rules on attempts, in virtual time: callers that leave, deadlines that pass within the release guard, the
+// maximum number of attempts, and release guards of several lengths.
 #include <algorithm>
 
 #include "gateway.h"
@@ -21,13 +21,13 @@
 
 TEST(CallerLeft, NoAttemptFollowsForACallThatWaited) {
   Gateway g;
-  g.list({ready(10, 0)});
+  g.receive_list({ready(10, 0)});
   g.arrive(1);
-  g.arrive(2);  // waits for the slot that 1 holds
-  g.leaves(2);
-  g.pass(50ms);
-  g.stands(1);
-  g.pass(3s);
+  g.arrive(2);  // waits, since the set-up of call 1 is pending
+  g.caller_leaves(2);
+  g.advance(50ms);
+  g.establish(1);
+  g.advance(3s);
   EXPECT_EQ(g.sent_count(2), 0U);
   EXPECT_EQ(final_answers(g, 2), 0U);
   EXPECT_EQ(g.open_calls(), 0U);
@@ -35,61 +35,61 @@
 
 TEST(CallerLeft, NoAttemptFollowsWithinTheReleaseGuard) {
   Gateway g(with_guard(300ms));
-  g.list({ready(10, 0), ready(11, 1)});
+  g.receive_list({ready(10, 0), ready(11, 1)});
   g.arrive(1);
-  g.pass(100ms);
-  g.ends(1, AttemptOutcome::reset);
-  g.pass(100ms);
-  g.leaves(1);
-  g.pass(3s);
+  g.advance(100ms);
+  g.end_attempt(1, AttemptOutcome::reset);
+  g.advance(100ms);
+  g.caller_leaves(1);
+  g.advance(3s);
   EXPECT_EQ(g.sent_count(1), 1U);
   EXPECT_EQ(final_answers(g, 1), 0U);
 }
 
-TEST(CallerLeft, NoAttemptFollowsTheEndOfOneThatWasOut) {
-  for (const AttemptOutcome ending : {AttemptOutcome::full, AttemptOutcome::connect_failed,
-                                      AttemptOutcome::timeout, AttemptOutcome::reset}) {
+TEST(CallerLeft, NoAttemptFollowsTheEndOfThePendingOne) {
+  for (const AttemptOutcome outcome : {AttemptOutcome::full, AttemptOutcome::connect_failed,
+                                       AttemptOutcome::timeout, AttemptOutcome::reset}) {
     Gateway g;
-    g.list({ready(10, 0), ready(11, 1)});
+    g.receive_list({ready(10, 0), ready(11, 1)});
     g.arrive(1);
-    g.pass(50ms);
-    g.leaves(1);
-    g.ends(1, ending);
-    g.pass(3s);
+    g.advance(50ms);
+    g.caller_leaves(1);
+    g.end_attempt(1, outcome);
+    g.advance(3s);
     EXPECT_EQ(g.sent_count(1), 1U);
     EXPECT_EQ(final_answers(g, 1), 0U);
   }
 }
 
-TEST(ReleaseGuard, ACallWhoseDeadlinePassesWithinItGetsOneFinalAnswer) {
-  for (const Duration stays :
+TEST(ReleaseGuard, ACallWhoseCallerLeavesWithinItGetsOneFinalAnswer) {
+  for (const Duration patience :
        {Duration{250ms}, Duration{300ms}, Duration{399ms}, Duration{400ms}, Duration{401ms}}) {
     Gateway g(with_guard(300ms));
-    g.list({ready(10, 0), ready(11, 1)});
-    g.arrive(1, 0, 0, stays);
-    g.pass(100ms);
-    g.ends(1, AttemptOutcome::timeout);
-    g.pass(5s);
-    EXPECT_EQ(g.sent_count(1), 1U) << stays.count();
-    EXPECT_EQ(final_answers(g, 1), 1U) << stays.count();
-    EXPECT_EQ(g.open_calls(), 0U) << stays.count();
+    g.receive_list({ready(10, 0), ready(11, 1)});
+    g.arrive(1, 0, 0, patience);
+    g.advance(100ms);
+    g.end_attempt(1, AttemptOutcome::timeout);
+    g.advance(5s);
+    EXPECT_EQ(g.sent_count(1), 1U) << patience.count();
+    EXPECT_EQ(final_answers(g, 1), 1U) << patience.count();
+    EXPECT_EQ(g.open_calls(), 0U) << patience.count();
   }
 }
 
-TEST(Attempts, AreFiveAtTheMost) {
+TEST(Attempts, AreLimitedToFive) {
   Settings s = with_guard(Duration{});
   s.classes[0].aim = 8s;
   s.classes[1].aim = 8s;
   Gateway g(s);
   std::vector<ServerEntry> servers;
   for (std::uint32_t i = 0; i < 12; ++i) servers.push_back(ready(10 + i, i));
-  g.list(servers);
+  g.receive_list(servers);
   g.arrive(1, 0, 0, 9s);
-  for (std::size_t ended = 0; g.now < Time{109s}; g.pass(10ms)) {
+  for (std::size_t ended = 0; g.now < Time{109s}; g.advance(10ms)) {
     if (g.sent_count(1) == ended) continue;
     ++ended;
-    g.pass(20ms);
-    g.ends(1, AttemptOutcome::reset);
+    g.advance(20ms);
+    g.end_attempt(1, AttemptOutcome::reset);
   }
   EXPECT_EQ(g.sent_count(1), 5U);
   EXPECT_EQ(final_answers(g, 1), 1U);
@@ -97,24 +97,24 @@
 
 struct Guard {
   Duration length;
-  AttemptOutcome ending;
+  AttemptOutcome outcome;
 };
 class ReleaseGuards : public ::testing::TestWithParam<Guard> {};
 
-TEST_P(ReleaseGuards, AreKeptToTheirEndAndNoLonger) {
-  const auto [guard, ending] = GetParam();
+TEST_P(ReleaseGuards, DelayTheNextAttemptForTheirLengthAndNoLonger) {
+  const auto [guard, outcome] = GetParam();
   Settings s = with_guard(guard);
   s.classes[0].aim = 8s;
   Gateway g(s);
-  g.list({ready(10, 0), ready(11, 1)});
+  g.receive_list({ready(10, 0), ready(11, 1)});
   g.arrive(1, 0, 0, 9s);
-  g.pass(100ms);
-  g.ends(1, ending);
+  g.advance(100ms);
+  g.end_attempt(1, outcome);
   const Time ended = g.now;
-  while (g.sent_count(1) == 1 && g.now < ended + 8s) g.pass(1ms);
+  while (g.sent_count(1) == 1 && g.now < ended + 8s) g.advance(1ms);
   ASSERT_EQ(g.sent_count(1), 2U);
   EXPECT_GE(g.now - ended, guard);
-  EXPECT_LE(g.now - ended, guard + 100ms);  // the next look at what waits
+  EXPECT_LE(g.now - ended, guard + 100ms);  // the next recheck of waiting calls
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -1,4 +1,5 @@
-// The budget of cold and silent servers, held by many gateways together. Each test fails without its code.
+// The budget of cold servers and the load on silent ones, kept by many gateways together. Each test fails
+// without the code that it covers.
 #include <cmath>
 
 #include "gateway_fleet.h"
@@ -6,20 +7,20 @@
 namespace reeltack::test {
 namespace {
 
-// Most that any span holds, as a part of what the rule allows, if the server gains at half of a straight
-// ramp.
-double of_cold_budget(const std::vector<Time>& sends, Time started, const Settings& s, double capacity) {
-  double most = 0.0;
+// The maximum number of sends in any window of fall_span, relative to what the rule allows if the server
+// warms up at half the slope of a linear ramp.
+double max_budget_fraction(const std::vector<Time>& sends, Time started, const Settings& s, double capacity) {
+  double max = 0.0;
   const double span = std::chrono::duration<double>(s.fall_span).count();
   for (const Time& from : sends) {
     const auto in_span = std::count_if(sends.begin(), sends.end(),
                                        [&](const Time& t) { return t >= from && t < from + s.fall_span; });
     const double age = std::chrono::duration<double>(from - started).count();
     const double ramp = std::chrono::duration<double>(s.ramp).count();
-    const double warm = s.cold_from + (1.0 - s.cold_from) * 0.5 * std::min(age / ramp, 1.0);
-    most = std::max(most, static_cast<double>(in_span) / (s.fall_multiple * warm * capacity * span));
+    const double warmth = s.cold_from + (1.0 - s.cold_from) * 0.5 * std::min(age / ramp, 1.0);
+    max = std::max(max, static_cast<double>(in_span) / (s.fall_multiple * warmth * capacity * span));
   }
-  return most;
+  return max;
 }
 
 struct Size {
@@ -29,43 +30,43 @@
 
 class ColdBudget : public ::testing::TestWithParam<Size> {};
 
-// Found on the first full scores: the pace did not know how many gateways there are, and several start at
-// once.
+// Guards against send intervals that ignore the number of gateways, and against several gateways that start
+// sending at once.
 TEST_P(ColdBudget, HoldsForAllGatewaysTogether) {
   const Settings s = plain_settings();
   constexpr std::uint32_t kServers = 6;
-  constexpr double kCalls = 150.0;  // as many as the servers can take when warm
-  Fleet fleet(s, GetParam().gateways, kCalls, GetParam().skewed);
+  constexpr double kCallsPerSecond = 150.0;  // as many as the servers can take when warm
+  Fleet fleet(s, GetParam().gateways, kCallsPerSecond, GetParam().skewed);
   std::vector<ServerEntry> servers;
   for (std::uint32_t i = 0; i < kServers; ++i) servers.push_back(ready(10 + i, i));
-  fleet.list(servers);
+  fleet.receive_list(servers);
   fleet.run(6s);
   const Time started = fleet.now();
   servers[0].started_at = servers[1].started_at = started;
-  fleet.list(servers);
+  fleet.receive_list(servers);
   fleet.run(8s);
   for (const std::uint32_t cold : {10U, 11U}) {
     std::vector<Time> sends = fleet.sends_to(cold);
     std::erase_if(sends, [&](const Time& t) { return t <= started; });
     EXPECT_GT(sends.size(), 5U);
-    EXPECT_LT(of_cold_budget(sends, started, s, kCalls / kServers), 1.0);
+    EXPECT_LT(max_budget_fraction(sends, started, s, kCallsPerSecond / kServers), 1.0);
   }
 }
 
-TEST_P(ColdBudget, HoldsBeforeAnyGatewayHasSeenAnAnswer) {
+TEST_P(ColdBudget, HoldsBeforeAnyGatewayHasReceivedAnAnswer) {
   const Settings s = plain_settings();
-  constexpr double kCalls = 150.0;
-  Fleet fleet(s, GetParam().gateways, kCalls, GetParam().skewed);
+  constexpr double kCallsPerSecond = 150.0;
+  Fleet fleet(s, GetParam().gateways, kCallsPerSecond, GetParam().skewed);
   const Time started = fleet.now();
   std::vector<ServerEntry> servers;
   for (std::uint32_t i = 0; i < 6; ++i) {
     servers.push_back(ready(10 + i, i));
     servers.back().started_at = started;
   }
-  fleet.list(servers);
+  fleet.receive_list(servers);
   fleet.run(6s);
   for (std::uint32_t cold = 10; cold < 16; ++cold)
-    EXPECT_LT(of_cold_budget(fleet.sends_to(cold), started, s, kCalls / 6), 1.0);
+    EXPECT_LT(max_budget_fraction(fleet.sends_to(cold), started, s, kCallsPerSecond / 6), 1.0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, ColdBudget,
@@ -76,15 +77,15 @@
                                   (info.param.skewed ? "skewed" : "even");
                          });
 
-TEST(SilentServer, GetsAThinTrickleFromAllGatewaysTogether) {
+TEST(SilentServer, GetsFewAttemptsFromAllGatewaysTogether) {
   Fleet fleet(plain_settings(), 80, 160.0, false);
-  fleet.list({ready(10, 0), ready(11, 1), ready(12, 2), ready(13, 3)});
+  fleet.receive_list({ready(10, 0), ready(11, 1), ready(12, 2), ready(13, 3)});
   fleet.run(5s);
   fleet.run(20s, 11);
   const std::vector<Time> sends = fleet.sends_to(11);
   const auto late =
       std::count_if(sends.begin(), sends.end(), [&](const Time& t) { return t > fleet.now() - 5s; });
-  EXPECT_LT(late, 60);  // of 200 that it would get in these 5 s
+  EXPECT_LT(late, 60);  // of the 200 that it would get in these 5 s
   EXPECT_GT(late, 0);   // still tried
 }
 
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -1,4 +1,5 @@
-// A gateway for tests: drives a Controller, keeps what it did, and checks the five rules on every action.
+// A gateway for tests: drives a Controller in virtual time, records its actions, and checks the five rules on
+// each.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -44,67 +45,70 @@
       : settings_(std::move(settings)), controller_(settings_, seed) {}
 
   Time now = Time{100s};
-  ActionSink last;               // what the latest event led to
+  ActionSink last_actions;       // of the latest step
   std::vector<SendSetUp> sends;  // all sends so far
   std::vector<std::uint64_t> refused;
   std::vector<std::uint64_t> failed;
-  int asked_for_list = 0;
+  int list_requests = 0;
 
-  void list(std::vector<ServerEntry> entries, bool complete = true) {
-    for (const ServerEntry& e : entries) told_[e.server] = e;
+  void receive_list(std::vector<ServerEntry> entries, bool complete = true) {
+    for (const ServerEntry& e : entries) listed_[e.server] = e;
     if (complete) {
-      for (auto& [id, e] : told_) {
-        bool kept = false;
-        for (const ServerEntry& n : entries) kept = kept || n.server == id;
-        if (!kept) e.state = ServerState::gone;
+      for (auto& [id, e] : listed_) {
+        bool found = false;
+        for (const ServerEntry& n : entries) found = found || n.server == id;
+        if (!found) e.state = ServerState::gone;
       }
     }
     on(ServerListReceived{complete, std::move(entries)});
   }
-  void arrive(std::uint64_t id, std::uint32_t cls = 0, std::uint32_t to = 0, Duration stays = 3s,
-              std::uint64_t number = 0, bool redial = false) {
-    CallArrived call{
-        .call = CallId{id}, .call_class = cls, .number = CalledNumber{number}, .destination = to};
-    call.caller_leaves_at = now + stays;
+  void arrive(std::uint64_t id, std::uint32_t call_class = 0, std::uint32_t destination = 0,
+              Duration patience = 3s, std::uint64_t number = 0, bool redial = false) {
+    CallArrived call{.call = CallId{id},
+                     .call_class = call_class,
+                     .number = CalledNumber{number},
+                     .destination = destination};
+    call.caller_leaves_at = now + patience;
     call.redial = redial;
     arrive(call);
   }
   void arrive(const CallArrived& call) {
-    book_[call.call] = {.leaves = call.caller_leaves_at, .open = true};
+    calls_[call.call] = {.leaves_at = call.caller_leaves_at, .open = true};
     on(call);
   }
-  // The answer to the latest attempt of a call.
-  void stands(std::uint64_t id) {
-    Entry& e = book_.at(CallId{id});
-    e.out = false;
-    e.open = false;
-    on(CallEstablished{CallId{id}, e.attempts - 1, e.server, now - e.sent});
-  }
-  void ends(std::uint64_t id, AttemptOutcome ending, FullReason reason = FullReason::unknown,
-            bool busy = false) {
-    Entry& e = book_.at(CallId{id});
-    e.out = false;
-    if (ending == AttemptOutcome::timeout || ending == AttemptOutcome::reset ||
-        ending == AttemptOutcome::cancelled)
-      e.released_at = now;
+  // The latest attempt of the call succeeds.
+  void establish(std::uint64_t id) {
+    CallRecord& c = calls_.at(CallId{id});
+    c.pending = false;
+    c.open = false;
+    on(CallEstablished{CallId{id}, c.attempts - 1, c.server, now - c.sent_at});
+  }
+  // The latest attempt of the call ends otherwise.
+  void end_attempt(std::uint64_t id, AttemptOutcome outcome, FullReason reason = FullReason::unknown,
+                   bool number_busy = false) {
+    CallRecord& c = calls_.at(CallId{id});
+    c.pending = false;
+    if (outcome == AttemptOutcome::timeout || outcome == AttemptOutcome::reset ||
+        outcome == AttemptOutcome::cancelled)
+      c.released_at = now;
     on(AttemptEnded{.call = CallId{id},
-                    .attempt = e.attempts - 1,
-                    .server = e.server,
-                    .outcome = ending,
-                    .number_busy = busy,
+                    .attempt = c.attempts - 1,
+                    .server = c.server,
+                    .outcome = outcome,
+                    .number_busy = number_busy,
                     .reason = reason,
-                    .elapsed = now - e.sent});
+                    .elapsed = now - c.sent_at});
   }
-  void leaves(std::uint64_t id) {
-    book_.at(CallId{id}).open = false;
+  void caller_leaves(std::uint64_t id) {
+    calls_.at(CallId{id}).open = false;
     on(CallerLeft{CallId{id}});
   }
-  void lines(std::uint32_t server, double free) {
+  void report_lines(std::uint32_t server, double free) {
     on(ServerReported{.server = ServerId{server}, .report = {.free_lines = free, .lines = 100.0}});
   }
 
-  // Let time pass; timers that fall due are handed back on the way.
-  void pass(Duration time) {
+  // Advances the clock; timers fire when they are due.
+  void advance(Duration time) {
     const Time until = now + time;
     while (!timers_.empty() && timers_.begin()->first <= until) {
       const auto [at, token] = *timers_.begin();
@@ -115,23 +119,23 @@
     now = until;
   }
 
-  // Time passes without a turn for the gateway; what was due meanwhile stays with its timers.
-  void stand_still(Duration time) { now += time; }
-  // One turn with all these events, and with the timers that are overdue.
-  void turn(std::vector<Event> events) {
+  // Advances the clock while the gateway is paused: timers that become due do not fire.
+  void pause(Duration time) { now += time; }
+  // One step with all these events and the timers that are overdue.
+  void step(std::vector<Event> events) {
     while (!timers_.empty() && timers_.begin()->first <= now) {
       events.emplace_back(TimerFired{timers_.begin()->second});
       timers_.erase(timers_.begin());
     }
     for (const Event& event : events) {
       if (const auto* call = std::get_if<CallArrived>(&event))
-        book_[call->call] = {.leaves = call->caller_leaves_at, .open = true};
+        calls_[call->call] = {.leaves_at = call->caller_leaves_at, .open = true};
     }
     for (const Event& event : events) {
-      if (const auto* left = std::get_if<CallerLeft>(&event)) book_.at(left->call).open = false;
-      if (const auto* stood = std::get_if<CallEstablished>(&event)) {
-        book_.at(stood->call).open = false;
-        book_.at(stood->call).out = false;
+      if (const auto* left = std::get_if<CallerLeft>(&event)) calls_.at(left->call).open = false;
+      if (const auto* established = std::get_if<CallEstablished>(&event)) {
+        calls_.at(established->call).open = false;
+        calls_.at(established->call).pending = false;
       }
     }
     on(events);
@@ -139,11 +143,11 @@
 
   void on(const Event& event) { on(std::span<const Event>{&event, 1}); }
   void on(std::span<const Event> events) {
-    last.clear();
-    controller_.on(now, events, last);
-    for (const Action& action : last) check(action);
-    for (const auto& [id, e] : book_) {
-      if (e.open && !e.out && now > e.leaves + 20ms) {
+    last_actions.clear();
+    controller_.on(now, events, last_actions);
+    for (const Action& action : last_actions) check(action);
+    for (const auto& [id, c] : calls_) {
+      if (c.open && !c.pending && now > c.leaves_at + 20ms) {
         ADD_FAILURE() << "rule 1: call " << static_cast<std::uint64_t>(id) << " has no final answer in time";
       }
     }
@@ -165,69 +169,71 @@
   }
   [[nodiscard]] std::size_t open_calls() const { return controller_.open_calls(); }
 
-  struct Entry {
-    Time leaves{};
-    bool open = false;
-    bool out = false;
+  struct CallRecord {
+    Time leaves_at{};
+    bool open = false;     // a final answer is due
+    bool pending = false;  // an attempt is unanswered
     std::uint32_t attempts = 0;
-    ServerId server{};
-    Time sent{};
+    ServerId server{};  // of the latest attempt
+    Time sent_at{};
     Time released_at{};
   };
-  std::map<CallId, Entry>& book() { return book_; }
+  std::map<CallId, CallRecord>& calls() { return calls_; }
 
  private:
   void check(const Action& action) {
     if (const auto* send = std::get_if<SendSetUp>(&action)) {
-      ASSERT_TRUE(book_.contains(send->call)) << "a call never handed in";
-      Entry& e = book_[send->call];
-      EXPECT_TRUE(e.open) << "rule 1: sent after its end";
-      EXPECT_FALSE(e.out) << "rule 2: two attempts out";
-      ASSERT_TRUE(told_.contains(send->server));
-      EXPECT_EQ(told_[send->server].state, ServerState::ready) << "rule 3: sent to a draining or gone server";
-      if (e.released_at != Time{}) {
-        EXPECT_GE(now - e.released_at, settings_.release_guard) << "rule 5";
+      ASSERT_TRUE(calls_.contains(send->call)) << "a call that never arrived";
+      CallRecord& c = calls_[send->call];
+      EXPECT_TRUE(c.open) << "rule 1: sent after the call ended";
+      EXPECT_FALSE(c.pending) << "rule 2: two pending attempts";
+      ASSERT_TRUE(listed_.contains(send->server));
+      EXPECT_EQ(listed_[send->server].state, ServerState::ready)
+          << "rule 3: sent to a draining or gone server";
+      if (c.released_at != Time{}) {
+        EXPECT_GE(now - c.released_at, settings_.release_guard) << "rule 5";
       }
-      EXPECT_LT(e.attempts, settings_.attempts_cap);
-      EXPECT_LE(send->expires_at, e.leaves);
-      e.out = true;
-      ++e.attempts;
-      e.server = send->server;
-      e.sent = now;
+      EXPECT_LT(c.attempts, settings_.attempts_cap);
+      EXPECT_LE(send->expires_at, c.leaves_at);
+      c.pending = true;
+      ++c.attempts;
+      c.server = send->server;
+      c.sent_at = now;
       sends.push_back(*send);
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      answer(refuse->call, refused);
+      final_answer(refuse->call, refused);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      answer(fail->call, failed);
+      final_answer(fail->call, failed);
     } else if (std::holds_alternative<SubscribeToServerList>(action)) {
-      ++asked_for_list;
+      ++list_requests;
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       EXPECT_GT(timer->at, now);
       timers_.emplace(timer->at, timer->token);
     }
   }
-  void answer(CallId call, std::vector<std::uint64_t>& into) {
-    ASSERT_TRUE(book_.contains(call)) << "a call never handed in";
-    Entry& e = book_[call];
-    EXPECT_TRUE(e.open) << "rule 1: a second final answer";
-    EXPECT_LE(now, e.leaves + 20ms) << "rule 1: answered too late";
-    e.open = false;
+  void final_answer(CallId call, std::vector<std::uint64_t>& into) {
+    ASSERT_TRUE(calls_.contains(call)) << "a call that never arrived";
+    CallRecord& c = calls_[call];
+    EXPECT_TRUE(c.open) << "rule 1: a second final answer";
+    EXPECT_LE(now, c.leaves_at + 20ms) << "rule 1: answered too late";
+    c.open = false;
     into.push_back(static_cast<std::uint64_t>(call));
   }
 
   Settings settings_;
   Controller controller_;
-  std::map<CallId, Entry> book_;
-  std::map<ServerId, ServerEntry> told_;
+  std::map<CallId, CallRecord> calls_;
+  std::map<ServerId, ServerEntry> listed_;
   std::multimap<Time, TimerToken> timers_;
 };
 
-// Ten calls from the id `from` on that stand after `took`, so that the delays of server `to` are known.
-inline void warm_up(Gateway& g, std::uint32_t to, std::uint64_t from, Duration took) {
-  for (std::uint64_t id = from; id < from + 10; ++id) {
-    g.arrive(id, 0, to);
-    g.pass(took);
-    g.stands(id);
+// Ten calls with ids from `first_id` that are each established after `delay`, so that the delay of the server
+// at `destination` is known.
+inline void warm_up(Gateway& g, std::uint32_t destination, std::uint64_t first_id, Duration delay) {
+  for (std::uint64_t id = first_id; id < first_id + 10; ++id) {
+    g.arrive(id, 0, destination);
+    g.advance(delay);
+    g.establish(id);
   }
 }
 
--- a/tests/gateway_fleet.h
+++ b/tests/gateway_fleet.h
@@ -10,32 +10,33 @@
 
 inline constexpr Duration kStep = std::chrono::milliseconds(20);
 
-// They share nothing; only the sends are added up here.
+// The gateways share no state; the fleet only collects their sends.
 class Fleet {
  public:
-  Fleet(Settings settings, std::uint32_t gateways, double calls_a_second, bool skewed) : random_(7) {
+  // `skewed`: the traffic of the gateways differs, that of gateway i being 1 / (1 + i) of the first one's.
+  Fleet(Settings settings, std::uint32_t gateways, double calls_per_second, bool skewed) : random_(7) {
     settings.gateways = gateways;
     double total = 0.0;
     for (std::uint32_t i = 0; i < gateways; ++i) {
       gateways_.push_back(std::make_unique<Gateway>(settings, 1000 + i));
-      share_.push_back(skewed ? 1.0 / (1.0 + i) : 1.0);
-      total += share_.back();
+      call_rates_.push_back(skewed ? 1.0 / (1.0 + i) : 1.0);
+      total += call_rates_.back();
     }
-    for (double& share : share_) share *= calls_a_second / total;
-    out_.resize(gateways);
-    seen_.resize(gateways);
+    for (double& rate : call_rates_) rate *= calls_per_second / total;
+    pending_.resize(gateways);
+    sends_read_.resize(gateways);
   }
 
-  void list(const std::vector<ServerEntry>& servers) {
+  void receive_list(const std::vector<ServerEntry>& servers) {
     servers_ = static_cast<std::uint32_t>(servers.size());
-    for (auto& g : gateways_) g->list(servers);
+    for (auto& g : gateways_) g->receive_list(servers);
   }
-  void lines(std::uint32_t server, double free, double lines) {
+  void report_lines(std::uint32_t server, double free, double lines) {
     for (auto& g : gateways_)
       g->on(ServerReported{.server = ServerId{server}, .report = {.free_lines = free, .lines = lines}});
   }
 
-  // Attempts at a silent server end as time-outs, all others stand.
+  // Attempts at a silent server time out; all others succeed.
   void run(Duration time, std::optional<std::uint32_t> silent = {}) {
     for (Duration t{}; t < time; t += kStep) {
       for (std::size_t i = 0; i < gateways_.size(); ++i) step(i, silent);
@@ -53,53 +54,53 @@
   [[nodiscard]] Time now() const { return gateways_.front()->now; }
 
  private:
-  struct Out {
+  struct PendingAttempt {
     std::uint64_t call;
     std::uint32_t server;
-    Time ends;
-    bool silent;
+    Time ends_at;
+    bool times_out;
   };
 
   void step(std::size_t i, std::optional<std::uint32_t> silent) {
     Gateway& g = *gateways_[i];
-    g.pass(kStep);
+    g.advance(kStep);
     for (;;) {
-      const auto due =
-          std::find_if(out_[i].begin(), out_[i].end(), [&](const Out& o) { return o.ends <= g.now; });
-      if (due == out_[i].end()) break;
-      const Out o = *due;
-      out_[i].erase(due);
-      o.silent ? g.ends(o.call, AttemptOutcome::timeout) : g.stands(o.call);
-      note(i, silent);
+      const auto due = std::find_if(pending_[i].begin(), pending_[i].end(),
+                                    [&](const PendingAttempt& a) { return a.ends_at <= g.now; });
+      if (due == pending_[i].end()) break;
+      const PendingAttempt attempt = *due;
+      pending_[i].erase(due);
+      attempt.times_out ? g.end_attempt(attempt.call, AttemptOutcome::timeout) : g.establish(attempt.call);
+      read_sends(i, silent);
     }
     std::uniform_real_distribution<double> uniform;
-    const double per_step = share_[i] * std::chrono::duration<double>(kStep).count();
+    const double per_step = call_rates_[i] * std::chrono::duration<double>(kStep).count();
     for (double left = per_step; left > 0.0; left -= 1.0) {
       if (uniform(random_) >= left) continue;
       ++calls_;
       g.arrive(calls_, 0, static_cast<std::uint32_t>(random_() % servers_), std::chrono::seconds(3), calls_);
-      note(i, silent);
+      read_sends(i, silent);
     }
-    note(i, silent);
+    read_sends(i, silent);
   }
-  void note(std::size_t i, std::optional<std::uint32_t> silent) {
+  void read_sends(std::size_t i, std::optional<std::uint32_t> silent) {
     Gateway& g = *gateways_[i];
-    for (; seen_[i] < g.sends.size(); ++seen_[i]) {
-      const SendSetUp& s = g.sends[seen_[i]];
+    for (; sends_read_[i] < g.sends.size(); ++sends_read_[i]) {
+      const SendSetUp& s = g.sends[sends_read_[i]];
       const auto server = static_cast<std::uint32_t>(s.server);
       sends_.emplace_back(server, g.now);
-      const bool lost = silent == server;
-      out_[i].push_back({static_cast<std::uint64_t>(s.call), server,
-                         lost ? s.expires_at : g.now + std::chrono::milliseconds(100), lost});
+      const bool times_out = silent == server;
+      pending_[i].push_back({static_cast<std::uint64_t>(s.call), server,
+                             times_out ? s.expires_at : g.now + std::chrono::milliseconds(100), times_out});
     }
   }
 
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
-  std::vector<double> share_;
-  std::vector<std::vector<Out>> out_;
-  std::vector<std::size_t> seen_;
-  std::vector<std::pair<std::uint32_t, Time>> sends_;
+  std::vector<double> call_rates_;                     // of each gateway, per second
+  std::vector<std::vector<PendingAttempt>> pending_;   // of each gateway
+  std::vector<std::size_t> sends_read_;                // of each gateway: sends already processed here
+  std::vector<std::pair<std::uint32_t, Time>> sends_;  // of all gateways
   std::uint64_t calls_ = 0;
   std::uint32_t servers_ = 1;
 };
--- a/tests/slow_start/classes_test.cpp
+++ b/tests/slow_start/classes_test.cpp
@@ -1,4 +1,4 @@
-// The budget, in requests of mean work, where classes differ in work and controllers are not told by how
+// The budget, in requests of mean work, where classes differ in work and the controllers do not know by how
 // much.
 #include "run.h"
 
@@ -7,25 +7,25 @@
 
 class SlowStartClasses : public ::testing::TestWithParam<Size> {};
 
-// Of the two classes the second is worth three times as much.
+// The second of the two classes is worth three times as much as the first.
 void run_classes(const Size& size, std::vector<double> work, double load_before, double load_after,
                  const std::string& title) {
   for (const std::uint64_t seed : seeds_for(size)) {
     WorldPlan plan = usual_plan(size, seed);
     plan.class_work = work;
     Recovery run(size, plan);
-    run.load(load_before);
-    run.pass(10s);
-    run.load(load_after);
+    run.set_load(load_before);
+    run.advance(10s);
+    run.set_load(load_after);
     run.start();
-    run.pass(5s);
-    run.load(1.0);
-    run.pass_ramp();
+    run.advance(5s);
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget(title);
   }
 }
 
-TEST_P(SlowStartClasses, InABurstThatBegins) {
+TEST_P(SlowStartClasses, AtTheBeginningOfABurst) {
   run_classes(GetParam(), {1.0, 4.0}, 1.0, 3.0, "work 1 and 4, burst x3");
 }
 TEST_P(SlowStartClasses, HeavyCallsWorthMoreInALongBurst) {
@@ -38,18 +38,18 @@
   run_classes(GetParam(), {4.0, 1.0}, 10.0, 10.0, "work 4 and 1, long x10");
 }
 
-// Where chance leaves the least room: sixty controllers that each send little, N round 30, work spread
-// widely.
-TEST(SlowStartChance, LeavesTheBudgetKeptOnManySeeds) {
+// Where random variation leaves the smallest margin: sixty controllers that each send little, N about 30, and
+// classes that differ widely in work.
+TEST(SlowStartVariation, KeepsTheBudgetWithManySeeds) {
   for (const double n : {29.0, 30.0}) {
     for (std::uint64_t seed = 101; seed <= 120; ++seed) {
       WorldPlan plan = usual_plan({60, n}, seed);
       plan.class_work = {1.0, 4.0};
       Recovery run({60, n}, plan);
-      run.load(3.0);
-      run.pass(8s);
+      run.set_load(3.0);
+      run.advance(8s);
       run.start();
-      run.pass(5s);
+      run.advance(5s);
       run.expect_within_budget("work 1 and 4, many seeds");
     }
   }
--- a/tests/slow_start/faults_test.cpp
+++ b/tests/slow_start/faults_test.cpp
@@ -1,4 +1,4 @@
-// The budget where servers and controllers restart, and where few or none are warm.
+// The budget where servers and controllers restart, and after a long quiet time.
 #include "run.h"
 
 namespace reeltack::test {
@@ -9,32 +9,32 @@
 TEST_P(SlowStartFaults, TheServerRestartsWithinItsOwnSlowStart) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
-    run.load(1.0);
-    run.pass(10s);
-    run.load(3.0);
+    run.set_load(1.0);
+    run.advance(10s);
+    run.set_load(3.0);
     run.start();
     for (const Duration after : {Duration{1500ms}, Duration{300ms}, Duration{4s}}) {
-      run.pass(after);
+      run.advance(after);
       run.world.crash(kRecovering);
-      run.pass(200ms);
+      run.advance(200ms);
       run.start(300ms);
     }
-    run.load(1.0);
-    run.pass_ramp();
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget("restarts in slow start");
   }
 }
 
-TEST_P(SlowStartFaults, AServerRestartsUnderTheSameIdNotifiedLate) {
+TEST_P(SlowStartFaults, AServerRestartsUnderTheSameIdAndControllersAreNotifiedLate) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
     run.world.add_warm(kRecovering, run.capacity());
-    run.load(1.0);
-    run.pass(10s);
+    run.set_load(1.0);
+    run.advance(10s);
     run.world.crash(kRecovering);
-    run.pass(500ms);
+    run.advance(500ms);
     run.start(3s);
-    run.pass_ramp();
+    run.advance_past_ramp();
     run.expect_within_budget("same id, notified over 3 s");
   }
 }
@@ -44,29 +44,29 @@
     for (const double load : {1.0, 3.0}) {
       Recovery run(GetParam(), seed);
       run.start();
-      run.load(load);
-      run.pass(4s);
-      run.load(1.0);
-      run.pass_ramp();
+      run.set_load(load);
+      run.advance(4s);
+      run.set_load(1.0);
+      run.advance_past_ramp();
       run.expect_within_budget("controllers new, load x" + std::to_string(static_cast<int>(load)));
     }
   }
 }
 
-void controllers_restart(const Size& size, double part, int times, const std::string& title) {
+void controllers_restart(const Size& size, double fraction, int times, const std::string& title) {
   for (const std::uint64_t seed : seeds_for(size)) {
     Recovery run(size, seed);
-    run.load(1.0);
-    run.pass(10s);
-    run.load(3.0);
+    run.set_load(1.0);
+    run.advance(10s);
+    run.set_load(3.0);
     run.start();
     for (int i = 0; i < times; ++i) {
-      run.pass(times > 1 ? 400ms : 1s);
-      run.world.restart_controllers(part);
+      run.advance(times > 1 ? 400ms : 1s);
+      run.world.restart_controllers(fraction);
     }
-    run.pass(2s);
-    run.load(1.0);
-    run.pass_ramp();
+    run.advance(2s);
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget(title);
   }
 }
@@ -80,15 +80,15 @@
 TEST_P(SlowStartFaults, ABurstAfterALongQuietTime) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
-    run.load(1.0);
-    run.pass(5s);
-    run.load(0.0);
-    run.pass(120s);
+    run.set_load(1.0);
+    run.advance(5s);
+    run.set_load(0.0);
+    run.advance(120s);
     run.start();
-    run.load(5.0);
-    run.pass(4s);
-    run.load(1.0);
-    run.pass_ramp();
+    run.set_load(5.0);
+    run.advance(4s);
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget("burst x5 after 120 s of quiet");
   }
 }
--- a/tests/slow_start/outage_test.cpp
+++ b/tests/slow_start/outage_test.cpp
@@ -1,4 +1,4 @@
-// The budget where none beside the recovering server is warm any more.
+// The budget where no other server is warm beside the recovering one.
 #include "run.h"
 
 namespace reeltack::test {
@@ -10,12 +10,12 @@
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
     run.world.add_warm(kRecovering, run.capacity());
-    run.load(1.0);
-    run.pass(10s);
+    run.set_load(1.0);
+    run.advance(10s);
     for (std::uint32_t i = 0; i <= kWarmServers; ++i) run.world.crash(kRecovering + i);
-    run.pass(2s);
+    run.advance(2s);
     for (std::uint32_t i = 0; i <= kWarmServers; ++i) run.world.start(kRecovering + i, run.capacity(), 0s);
-    run.pass_ramp();
+    run.advance_past_ramp();
     run.expect_within_budget("every server restarts");
   }
 }
@@ -23,14 +23,14 @@
 TEST_P(SlowStartOutage, AllWarmServersVanishDuringTheRamp) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
-    run.load(1.0);
-    run.pass(10s);
+    run.set_load(1.0);
+    run.advance(10s);
     run.start();
-    run.pass(500ms);
+    run.advance(500ms);
     run.remove_warm_servers();
-    run.pass(5s);
-    run.load(0.2);
-    run.pass_ramp();
+    run.advance(5s);
+    run.set_load(0.2);
+    run.advance_past_ramp();
     run.expect_within_budget("all warm servers vanish");
   }
 }
@@ -38,13 +38,13 @@
 TEST_P(SlowStartOutage, AllWarmServersVanishBeforeTheStart) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
-    run.load(3.0);
-    run.pass(12s);
+    run.set_load(3.0);
+    run.advance(12s);
     run.remove_warm_servers();
-    run.pass(1s);
+    run.advance(1s);
     run.start();
-    run.load(1.0);
-    run.pass_ramp();
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget("all vanish, then the start");
   }
 }
@@ -52,14 +52,14 @@
 TEST_P(SlowStartOutage, AllWarmServersVanishAndMostControllersRestart) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     Recovery run(GetParam(), seed);
-    run.load(1.0);
-    run.pass(10s);
+    run.set_load(1.0);
+    run.advance(10s);
     run.start();
-    run.pass(500ms);
+    run.advance(500ms);
     run.remove_warm_servers();
-    run.pass(500ms);
+    run.advance(500ms);
     run.world.restart_controllers(0.7);
-    run.pass_ramp();
+    run.advance_past_ramp();
     run.expect_within_budget("all vanish, 70% restart");
   }
 }
@@ -69,8 +69,8 @@
     Recovery run(GetParam(), seed);
     run.remove_warm_servers();
     run.start();
-    run.load(1.0);
-    run.pass_ramp();
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget("controllers new, one cold server");
   }
 }
--- a/tests/slow_start/run.cpp
+++ b/tests/slow_start/run.cpp
@@ -70,16 +70,16 @@
   WorstWindow notified;
   double total = 0.0;
   for (const SlowStart& start : world.starts()) {
-    if (start.all.worst().part() > worst.part()) worst = start.all.worst();
-    if (start.notified.worst().part() > notified.part()) notified = start.notified.worst();
+    if (start.all.worst().fraction() > worst.fraction()) worst = start.all.worst();
+    if (start.notified.worst().fraction() > notified.fraction()) notified = start.notified.worst();
     total += start.all.total();
   }
   std::printf("%-34s M %3zu N %3.0f seed %2llu: worst %6.1f of %6.1f (%.2f) at %5.2f s, ", title.c_str(),
               size_.controllers, size_.n, static_cast<unsigned long long>(seed_), notified.sent,
-              notified.budget, notified.part(), std::chrono::duration<double>(notified.age).count());
-  std::printf("with late ones %.2f; got %.0f, answered %zu of %zu\n", worst.part(), total, world.answered(),
-              world.arrived());
-  // A few calls of hundreds of controllers may all miss the short turns there, which is within the rule.
+              notified.budget, notified.fraction(), std::chrono::duration<double>(notified.age).count());
+  std::printf("with unnotified controllers %.2f; got %.0f, answered %zu of %zu\n", worst.fraction(), total,
+              world.answered(), world.arrived());
+  // The few calls of hundreds of controllers may all miss the short-lived send slots, which the rule permits.
   const bool many_calls = size_.n >= 29.0 || size_.controllers <= 60;
   if (many_calls) {
     EXPECT_GT(total, 0.0) << title << ", seed " << seed_ << ": nothing was sent";
--- a/tests/slow_start/uneven_test.cpp
+++ b/tests/slow_start/uneven_test.cpp
@@ -1,4 +1,4 @@
-// The budget where traffic, work, settings or the count of controllers are out of the usual.
+// The budget with uneven traffic, unusual settings, or another number of controllers than configured.
 #include "run.h"
 
 namespace reeltack::test {
@@ -7,13 +7,13 @@
 class SlowStartUneven : public ::testing::TestWithParam<Size> {};
 
 void start_in_a_burst(Recovery& run, const std::string& title) {
-  run.load(1.0);
-  run.pass(10s);
-  run.load(3.0);
+  run.set_load(1.0);
+  run.advance(10s);
+  run.set_load(3.0);
   run.start();
-  run.pass(4s);
-  run.load(1.0);
-  run.pass_ramp();
+  run.advance(4s);
+  run.set_load(1.0);
+  run.advance_past_ramp();
   run.expect_within_budget(title);
 }
 
@@ -27,7 +27,7 @@
   }
 }
 
-TEST_P(SlowStartUneven, AFewControllersHaveSeveralTimesTheMean) {
+TEST_P(SlowStartUneven, AFewControllersHaveSeveralTimesTheTrafficOfOthers) {
   for (const std::uint64_t seed : seeds_for(GetParam())) {
     WorldPlan uneven = usual_plan(GetParam(), seed);
     uneven.traffic.assign(GetParam().controllers, 1.0);
@@ -88,10 +88,10 @@
     many.settings.gateways = 3;
     Recovery run(GetParam(), many);
     run.start();
-    run.load(3.0);
-    run.pass(4s);
-    run.load(1.0);
-    run.pass_ramp();
+    run.set_load(3.0);
+    run.advance(4s);
+    run.set_load(1.0);
+    run.advance_past_ramp();
     run.expect_within_budget("300 new run, 3 expected");
   }
 }
--- a/tests/slow_start/world.cpp
+++ b/tests/slow_start/world.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kNetwork = 1ms;      // one way between a controller and a server
-constexpr Duration kLongestQueue = 1s;  // a server refuses what would wait longer
-constexpr Duration kPatience = 3s;      // of a caller
+constexpr Duration kNetworkDelay = 1ms;  // one way, between a controller and a server
+constexpr Duration kMaxQueueTime = 1s;   // a server answers full if a call would wait longer
+constexpr Duration kCallerPatience = 3s;
 
 Duration from_seconds(double s) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
@@ -23,11 +23,11 @@
 World::World(WorldPlan plan) : plan_(std::move(plan)), random_(plan_.seed) {
   if (plan_.traffic.empty()) plan_.traffic.assign(plan_.controllers, 1.0);
   if (plan_.class_work.empty()) plan_.class_work.assign(plan_.settings.classes.size(), 1.0);
-  sender_ = {plan_.traffic.begin(), plan_.traffic.end()};
+  next_caller_ = {plan_.traffic.begin(), plan_.traffic.end()};
   mean_work_ = std::accumulate(plan_.class_work.begin(), plan_.class_work.end(), 0.0) /
                static_cast<double>(plan_.class_work.size());
   members_.resize(plan_.controllers);
-  for (std::size_t i = 0; i < members_.size(); ++i) launch(i);
+  for (std::size_t i = 0; i < members_.size(); ++i) start_controller(i);
 }
 
 void World::at(Time time, std::function<void()> step) {
@@ -44,59 +44,58 @@
   now_ = end;
 }
 
-Duration World::within(Duration span) {
-  return from_seconds(uniform() * std::chrono::duration<double>(span).count());
+Duration World::random_delay(Duration max) {
+  return from_seconds(uniform() * std::chrono::duration<double>(max).count());
 }
 
-void World::load(double calls_a_second) {
-  calls_a_second_ = calls_a_second;
-  next_arrival(++stream_);
+void World::set_load(double calls_per_second) {
+  calls_per_second_ = calls_per_second;
+  schedule_arrival(++stream_);
 }
 
-void World::next_arrival(std::uint64_t stream) {
-  if (calls_a_second_ <= 0.0) return;
-  at(now_ + from_seconds(-std::log(1.0 - uniform()) / calls_a_second_), [this, stream] {
+void World::schedule_arrival(std::uint64_t stream) {
+  if (calls_per_second_ <= 0.0) return;
+  at(now_ + from_seconds(-std::log(1.0 - uniform()) / calls_per_second_), [this, stream] {
     if (stream != stream_) return;
     arrive();
-    next_arrival(stream);
+    schedule_arrival(stream);
   });
 }
 
 void World::arrive() {
-  const std::size_t i = sender_(random_);
+  const std::size_t i = next_caller_(random_);
   Member& member = members_[i];
   CallArrived call{.call = CallId{++next_call_}};
   call.call_class = static_cast<std::uint32_t>(random_() % plan_.settings.classes.size());
   call.number = CalledNumber{next_call_};
-  call.caller_leaves_at = now_ + kPatience;
+  call.caller_leaves_at = now_ + kCallerPatience;
   call.destination = static_cast<std::uint32_t>(random_() % std::max<std::size_t>(servers_.size(), 1));
-  member.open[call.call] = call.caller_leaves_at;
+  member.open_calls[call.call] = call.caller_leaves_at;
   member.class_of[call.call] = call.call_class;
-  at(call.caller_leaves_at, [this, i, life = member.life, id = call.call] {
+  at(call.caller_leaves_at, [this, i, run = member.run, id = call.call] {
     Member& m = members_[i];
-    if (m.life == life && m.open.erase(id) > 0) hand_over(i, life, CallerLeft{id});
+    if (m.run == run && m.open_calls.erase(id) > 0) report(i, run, CallerLeft{id});
   });
-  hand_over(i, member.life, call);
+  report(i, member.run, call);
 }
 
-void World::hand_over(std::size_t i, std::uint32_t life, const Event& event) {
-  if (members_[i].life != life) return;
+void World::report(std::size_t i, std::uint32_t run, const Event& event) {
+  if (members_[i].run != run) return;
   ActionSink actions;
   members_[i].controller->on(now_, event, actions);
-  for (const Action& action : actions) carry_out(i, action);
+  for (const Action& action : actions) execute(i, action);
 }
 
-void World::carry_out(std::size_t i, const Action& action) {
+void World::execute(std::size_t i, const Action& action) {
   Member& member = members_[i];
   if (const auto* set_up = std::get_if<SendSetUp>(&action)) {
     send(i, *set_up);
   } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    member.open.erase(refuse->call);
+    member.open_calls.erase(refuse->call);
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
-    member.open.erase(fail->call);
+    member.open_calls.erase(fail->call);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-    at(timer->at,
-       [this, i, life = member.life, token = timer->token] { hand_over(i, life, TimerFired{token}); });
+    at(timer->at, [this, i, run = member.run, token = timer->token] { report(i, run, TimerFired{token}); });
   }
 }
 
@@ -106,10 +105,10 @@
   FakeServer& server = servers_.at(id);
   const double work = plan_.class_work[member.class_of.at(set_up.call)];
   const std::uint32_t attempt = member.attempts[set_up.call]++;
-  if (server.up && server.followed) {
-    SlowStart& start = starts_[*server.followed];
-    start.all.sent(now_, work / mean_work_);
-    if (member.knows[id] == server.started) start.notified.sent(now_, work / mean_work_);
+  if (server.up && server.account) {
+    SlowStart& start = starts_[*server.account];
+    start.all.add(now_, work / mean_work_);
+    if (member.known_starts[id] == server.started_at) start.notified.add(now_, work / mean_work_);
   }
   answer(i, set_up, attempt, work);
 }
@@ -119,41 +118,43 @@
   AttemptEnded ended{.call = set_up.call, .attempt = attempt, .server = set_up.server};
   if (!server.up) {
     ended.outcome = AttemptOutcome::connect_failed;
-    return end_later(i, 2 * kNetwork, ended);
+    return schedule_end(i, 2 * kNetworkDelay, ended);
   }
-  const Time begins = std::max(server.busy_until, now_ + kNetwork);
-  if (begins > now_ + kLongestQueue) {
+  const Time begins_at = std::max(server.busy_until, now_ + kNetworkDelay);
+  if (begins_at > now_ + kMaxQueueTime) {
     ended.outcome = AttemptOutcome::full;
     ended.reason = FullReason::processor;
-    return end_later(i, 2 * kNetwork, ended);
+    return schedule_end(i, 2 * kNetworkDelay, ended);
   }
-  const double warm = server.started == Time{} ? 1.0 : warmth(plan_.settings, now_ - server.started);
-  server.busy_until = begins + from_seconds(work / mean_work_ / (server.capacity * warm));
-  const Time answered = server.busy_until + kNetwork;
-  if (answered > set_up.expires_at) {
+  const double warmth_now =
+      server.started_at == Time{} ? 1.0 : warmth(plan_.settings, now_ - server.started_at);
+  server.busy_until = begins_at + from_seconds(work / mean_work_ / (server.capacity * warmth_now));
+  const Time answered_at = server.busy_until + kNetworkDelay;
+  if (answered_at > set_up.expires_at) {
     ended.outcome = AttemptOutcome::timeout;
-    return end_later(i, set_up.expires_at - now_, ended);
+    return schedule_end(i, set_up.expires_at - now_, ended);
   }
-  at(answered, [this, i, life = members_[i].life, start = server.start_number, set_up, attempt, sent = now_] {
-    Member& member = members_[i];
-    if (member.life != life) return;
-    if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
-      AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
-      lost.outcome = AttemptOutcome::reset;
-      lost.elapsed = now_ - sent;
-      lost.call_ended = !member.open.contains(set_up.call);
-      return hand_over(i, life, lost);
-    }
-    answered_ += member.open.erase(set_up.call);
-    hand_over(i, life, CallEstablished{set_up.call, attempt, set_up.server, now_ - sent});
-  });
+  at(answered_at,
+     [this, i, run = members_[i].run, start = server.start_number, set_up, attempt, sent_at = now_] {
+       Member& member = members_[i];
+       if (member.run != run) return;
+       if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
+         AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
+         lost.outcome = AttemptOutcome::reset;
+         lost.elapsed = now_ - sent_at;
+         lost.call_ended = !member.open_calls.contains(set_up.call);
+         return report(i, run, lost);
+       }
+       answered_ += member.open_calls.erase(set_up.call);
+       report(i, run, CallEstablished{set_up.call, attempt, set_up.server, now_ - sent_at});
+     });
 }
 
-void World::end_later(std::size_t i, Duration after, AttemptEnded ended) {
+void World::schedule_end(std::size_t i, Duration after, AttemptEnded ended) {
   ended.elapsed = after;
-  at(now_ + after, [this, i, life = members_[i].life, ended]() mutable {
-    ended.call_ended = !members_[i].open.contains(ended.call);
-    hand_over(i, life, ended);
+  at(now_ + after, [this, i, run = members_[i].run, ended]() mutable {
+    ended.call_ended = !members_[i].open_calls.contains(ended.call);
+    report(i, run, ended);
   });
 }
 
--- a/tests/slow_start/world.h
+++ b/tests/slow_start/world.h
@@ -1,8 +1,8 @@
-// Controllers in one process that share nothing, in virtual time, before fake servers.
+// Several Controllers that share no state, with fake servers, in virtual time.
 //
-// Deterministic: equal plans and seeds give equal runs. Arrivals are Poisson; what the controllers learn of
-// the servers reaches each of them with a delay of its own; a server answers after the work in front of a
-// call.
+// Deterministic: equal plans and seeds give equal runs. Arrivals are Poisson. Each controller is notified of
+// changes of the servers after a delay of its own. A server answers a call once the work queued before it and
+// the call itself are done.
 #pragma once
 
 #include <functional>
@@ -19,44 +19,44 @@
 
 namespace reeltack::test {
 
-/// What a world is built from.
+/// The parameters of a world.
 struct WorldPlan {
-  Settings settings;                 // what every controller holds
-  std::size_t controllers = 1;       // how many run
-  std::vector<double> traffic{};     // weight of each controller's arrivals; empty: all alike
-  std::vector<double> class_work{};  // work of each class; empty: all alike
+  Settings settings;                 // of every controller
+  std::size_t controllers = 1;       // number that run
+  std::vector<double> traffic{};     // weight of each controller's arrivals; empty: all equal
+  std::vector<double> class_work{};  // work of a call of each class; empty: all equal
   std::uint64_t seed = 1;
 };
 
-/// One start of a server that is followed through its ramp.
+/// The account of one start of a server, through its ramp.
 struct SlowStart {
-  WindowAccount all;       // whoever sent
-  WindowAccount notified;  // senders that had been notified of this start
+  WindowAccount all;       // requests of all controllers
+  WindowAccount notified;  // requests of controllers that had been notified of this start
 };
 
 class World {
  public:
   explicit World(WorldPlan plan);
 
-  /// Runs the given step once the clock has come so far.
+  /// Schedules the step for this time.
   void at(Time time, std::function<void()> step);
-  /// Runs all that falls due until then.
+  /// Runs all steps that are due until then.
   void run_until(Time end);
   [[nodiscard]] Time now() const { return now_; }
 
-  /// New calls a second from now on, over all controllers.
-  void load(double calls_a_second);
+  /// Sets the arrival rate from now on, over all controllers.
+  void set_load(double calls_per_second);
 
-  /// A server that is warm already (started long ago); every controller is notified at once.
-  void add_warm(std::uint32_t server, double capacity_a_second);
-  /// A server starts now, for the first time or anew; each controller is notified within `lateness`.
-  void start(std::uint32_t server, double capacity_a_second, Duration lateness);
+  /// Adds a server that is warm already (started long ago); every controller is notified at once.
+  void add_warm(std::uint32_t server, double capacity_per_second);
+  /// A server starts now, for the first time or again; each controller is notified within `max_delay`.
+  void start(std::uint32_t server, double capacity_per_second, Duration max_delay);
   /// A server stops answering now.
   void crash(std::uint32_t server);
-  /// A server has gone for good; each controller is notified within `lateness`.
-  void remove(std::uint32_t server, Duration lateness);
-  /// This part of the controllers restarts now, without memory and with the present list.
-  void restart_controllers(double part);
+  /// A server is removed for good; each controller is notified within `max_delay`.
+  void remove(std::uint32_t server, Duration max_delay);
+  /// This fraction of the controllers restarts now, without memory and with the present list.
+  void restart_controllers(double fraction);
 
   [[nodiscard]] const std::vector<SlowStart>& starts() const { return starts_; }
   [[nodiscard]] std::size_t answered() const { return answered_; }
@@ -65,20 +65,20 @@
  private:
   struct Member {
     std::unique_ptr<Controller> controller;
-    std::uint32_t life = 0;                   // counts its restarts
-    std::map<std::uint32_t, Time> knows{};    // the start of each server that it was notified of
-    std::unordered_map<CallId, Time> open{};  // calls that it owes a final answer; when their callers leave
+    std::uint32_t run = 0;                          // number of its present run; counts its starts
+    std::map<std::uint32_t, Time> known_starts{};   // of each server, as it was notified
+    std::unordered_map<CallId, Time> open_calls{};  // calls without a final answer; when their callers leave
     std::unordered_map<CallId, std::uint32_t> class_of{};
     std::unordered_map<CallId, std::uint32_t> attempts{};
   };
   struct FakeServer {
     double capacity = 0.0;
-    Time started{};  // clock's epoch: long ago
+    Time started_at{};  // the clock's epoch means long ago
     bool up = false;
     bool listed = false;
     Time busy_until{};
-    std::uint64_t start_number = 0;         // tells one start from the next
-    std::optional<std::size_t> followed{};  // its place in starts_
+    std::uint64_t start_number = 0;        // distinguishes its starts and crashes
+    std::optional<std::size_t> account{};  // index in starts_ of its present start
   };
   struct Step {
     Time time{};
@@ -89,30 +89,30 @@
     }
   };
 
-  void launch(std::size_t member);
-  void next_arrival(std::uint64_t stream);
+  void start_controller(std::size_t member);
+  void schedule_arrival(std::uint64_t stream);
   void arrive();
-  void hand_over(std::size_t member, std::uint32_t life, const Event& event);
-  void carry_out(std::size_t member, const Action& action);
+  void report(std::size_t member, std::uint32_t run, const Event& event);
+  void execute(std::size_t member, const Action& action);
   void send(std::size_t member, const SendSetUp& send);
   void answer(std::size_t member, const SendSetUp& send, std::uint32_t attempt, double work);
-  void end_later(std::size_t member, Duration after, AttemptEnded ended);
-  void notify(std::uint32_t server, Duration lateness);
-  [[nodiscard]] static ServerEntry listed(std::uint32_t id, const FakeServer& server);
+  void schedule_end(std::size_t member, Duration after, AttemptEnded ended);
+  void notify(std::uint32_t server, Duration max_delay);
+  [[nodiscard]] static ServerEntry list_entry(std::uint32_t id, const FakeServer& server);
   double uniform() { return std::uniform_real_distribution<double>()(random_); }
-  Duration within(Duration span);
+  Duration random_delay(Duration max);
 
   WorldPlan plan_;
   std::mt19937_64 random_;
-  std::discrete_distribution<std::size_t> sender_;
+  std::discrete_distribution<std::size_t> next_caller_;  // the controller that gets the next call
   double mean_work_ = 1.0;
   std::vector<Member> members_;
   std::map<std::uint32_t, FakeServer> servers_;
   std::vector<SlowStart> starts_;
   std::priority_queue<Step> steps_;
   Time now_{std::chrono::seconds(100)};
-  double calls_a_second_ = 0.0;
-  std::uint64_t stream_ = 0;  // of arrivals; a change of the load begins another
+  double calls_per_second_ = 0.0;
+  std::uint64_t stream_ = 0;  // number of the arrival process; each change of the load starts a new one
   std::uint64_t next_step_ = 0;
   std::uint64_t next_call_ = 0;
   std::uint64_t next_start_ = 0;
--- a/tests/slow_start/world_servers.cpp
+++ b/tests/slow_start/world_servers.cpp
@@ -1,77 +1,77 @@
-// The world's servers and restarts: what changes, and when each controller is notified of it.
+// Changes of the world's servers and restarts of its controllers, with the notification of each controller.
 #include <algorithm>
 
 #include "world.h"
 
 namespace reeltack::test {
 
-// The one place where entries of the list are built.
-ServerEntry World::listed(std::uint32_t id, const FakeServer& server) {
+// The only place where entries of the list are built.
+ServerEntry World::list_entry(std::uint32_t id, const FakeServer& server) {
   ServerEntry entry;
   entry.server = ServerId{id};
   entry.place = id;
   entry.state = server.listed ? ServerState::ready : ServerState::gone;
-  entry.started_at = server.started;
+  entry.started_at = server.started_at;
   return entry;
 }
 
-void World::launch(std::size_t i) {
+void World::start_controller(std::size_t i) {
   Member& member = members_[i];
-  const std::uint32_t life = member.life + 1;
-  member = Member{.controller = std::make_unique<Controller>(plan_.settings, random_()), .life = life};
+  const std::uint32_t run = member.run + 1;
+  member = Member{.controller = std::make_unique<Controller>(plan_.settings, random_()), .run = run};
   ServerListReceived list{.complete = true, .entries = {}};
   for (const auto& [id, server] : servers_) {
     if (!server.listed) continue;
-    list.entries.push_back(listed(id, server));
-    member.knows[id] = server.started;
+    list.entries.push_back(list_entry(id, server));
+    member.known_starts[id] = server.started_at;
   }
-  if (!list.entries.empty()) hand_over(i, life, list);
+  if (!list.entries.empty()) report(i, run, list);
 }
 
-void World::add_warm(std::uint32_t id, double capacity_a_second) {
-  servers_[id] = {.capacity = capacity_a_second, .up = true, .listed = true};
+void World::add_warm(std::uint32_t id, double capacity_per_second) {
+  servers_[id] = {.capacity = capacity_per_second, .up = true, .listed = true};
   notify(id, Duration{});
 }
 
-void World::start(std::uint32_t id, double capacity_a_second, Duration lateness) {
-  servers_[id] = {.capacity = capacity_a_second, .started = now_, .up = true, .listed = true};
+void World::start(std::uint32_t id, double capacity_per_second, Duration max_delay) {
+  servers_[id] = {.capacity = capacity_per_second, .started_at = now_, .up = true, .listed = true};
   servers_[id].start_number = ++next_start_;
-  servers_[id].followed = starts_.size();
-  const WindowAccount account(plan_.settings, capacity_a_second, now_);
+  servers_[id].account = starts_.size();
+  const WindowAccount account(plan_.settings, capacity_per_second, now_);
   starts_.push_back({account, account});
-  notify(id, lateness);
+  notify(id, max_delay);
 }
 
 void World::crash(std::uint32_t id) {
   FakeServer& server = servers_.at(id);
   server.up = false;
-  server.start_number = ++next_start_;  // what it held is lost
-  server.followed.reset();
+  server.start_number = ++next_start_;  // pending set-ups are lost
+  server.account.reset();
 }
 
-void World::remove(std::uint32_t id, Duration lateness) {
+void World::remove(std::uint32_t id, Duration max_delay) {
   crash(id);
   servers_.at(id).listed = false;
-  notify(id, lateness);
+  notify(id, max_delay);
 }
 
-void World::notify(std::uint32_t id, Duration lateness) {
-  const ServerEntry entry = listed(id, servers_.at(id));
+void World::notify(std::uint32_t id, Duration max_delay) {
+  const ServerEntry entry = list_entry(id, servers_.at(id));
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    at(now_ + within(lateness), [this, i, life = members_[i].life, id, entry] {
-      if (members_[i].life != life) return;
-      members_[i].knows[id] = entry.started_at;
-      hand_over(i, life, ServerListReceived{.complete = false, .entries = {entry}});
+    at(now_ + random_delay(max_delay), [this, i, run = members_[i].run, id, entry] {
+      if (members_[i].run != run) return;
+      members_[i].known_starts[id] = entry.started_at;
+      report(i, run, ServerListReceived{.complete = false, .entries = {entry}});
     });
   }
 }
 
-void World::restart_controllers(double part) {
-  const auto restarting = static_cast<std::size_t>(part * static_cast<double>(members_.size()) + 0.5);
+void World::restart_controllers(double fraction) {
+  const auto restarting = static_cast<std::size_t>(fraction * static_cast<double>(members_.size()) + 0.5);
   std::vector<std::size_t> order(members_.size());
   for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
   std::shuffle(order.begin(), order.end(), random_);
-  for (std::size_t k = 0; k < restarting; ++k) launch(order[k]);
+  for (std::size_t k = 0; k < restarting; ++k) start_controller(order[k]);
 }
 
 }  // namespace reeltack::test
--- a/tests/wire_bytes.h
+++ b/tests/wire_bytes.h
@@ -1,4 +1,4 @@
-// Frames as the tests of the adapter write them.
+// Frames as the tests of the adapter build them.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace reeltack::wire {
 
-// The bytes of hex digits; blanks and line feeds between them are left out.
+// The bytes given by the hex digits of a text; blanks and line feeds are ignored.
 inline Bytes hex(const std::string& text) {
   Bytes out;
   std::string digits;
@@ -21,7 +21,7 @@
   return out;
 }
 
-// A batch of so many records.
+// A complete batch frame around a body with this number of records.
 inline Bytes framed(std::uint32_t records, const Bytes& body, std::uint64_t now = 0x1f568bf90) {
   Bytes out = hex("00000001");
   const auto put = [&](std::uint64_t v, int n) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire: the operators' worked examples and bad input.
+// The adapter's wire: the operators' worked examples, and malformed input.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,7 +10,7 @@
 
 namespace {
 
-TEST(Golden, EmptyBatchAndItsReply) {
+TEST(WorkedExample, EmptyBatchAndItsReply) {
   const Bytes in = hex("00000001 00000001f568bf90 00000004 00000000");
   EXPECT_EQ(body_length(in), 0U);
   const Batch batch = decode_batch(in);
@@ -20,7 +20,7 @@
   EXPECT_EQ(ReplyWriter(1).finish(), hex("00000001 00000004 00000000"));
 }
 
-TEST(Golden, EventsOfTwoInstances) {
+TEST(WorkedExample, EventsOfTwoInstances) {
   const Batch batch = decode_batch(hex(
       "0000000c 00000001f568bf90 00000066 00000005"
       "09 00000004 00000003"
@@ -43,7 +43,7 @@
   EXPECT_EQ(std::get<CallerLeft>(batch.records[4]).call, CallId{0x000efb9b0e6f2b19});
 }
 
-TEST(Golden, ReplyOfTwoInstances) {
+TEST(WorkedExample, ReplyOfTwoInstances) {
   ReplyWriter reply(12);
   reply.about(3);
   reply.action(SendSetUp{CallId{0x000336245d3a91c4}, ServerId{0x03124a07}, Time{Duration{0x1fa2d7390}}});
@@ -58,7 +58,7 @@
                                 "08 00000013 0011 74776f2073657276657273206b6e6f776e"));
 }
 
-TEST(Golden, ListAndAnnouncement) {
+TEST(WorkedExample, ListAndAnnouncement) {
   const Batch batch =
       decode_batch(framed(3, hex("09 00000004 00000003"
                                  "00 00000031 00 00000002 0000 00 3f800000 01 0000 0000000000000000 03124a07 "
@@ -72,7 +72,7 @@
   EXPECT_EQ(std::get<Announce>(batch.records[2]).form, AnnounceForm::cached);
 }
 
-TEST(Golden, FinishedAndPeerMessage) {
+TEST(WorkedExample, FinishedAndPeerMessage) {
   const Batch batch = decode_batch(
       framed(1, hex("08 0000001e 000336245d3a91c4 00000000 0000 03124a07 01 0000 00000000011a49a0 00")));
   const auto& finished = std::get<Finished>(batch.records[0]).ended;
@@ -84,7 +84,7 @@
   EXPECT_EQ(reply.finish(), hex("00000001 00000011 00000001 07 00000008 ffff 0004 68692037"));
 }
 
-TEST(Decoding, AFullProcessorTellsItsWait) {
+TEST(Decoding, AFullProcessorReportsItsRequestedWait) {
   const Batch batch = decode_batch(
       framed(1, hex("08 0000001e 0000000000000001 00000c83 0001 00000007 00 0008 0000000000000000 00")));
   const auto& ended = std::get<Finished>(batch.records[0]).ended;
@@ -93,18 +93,20 @@
   EXPECT_EQ(ended.requested_wait, std::chrono::milliseconds{200});
 }
 
-TEST(BadInput, SaysWhatAndWhere) {
+TEST(MalformedInput, IsRejectedAndUnknownCodesAreSkipped) {
   EXPECT_THROW(body_length(hex("00000001 00000001f568bf90 00000003 00000000")), WireError);
-  EXPECT_THROW(decode_batch(framed(1, hex("02 00000004 00000001"))), WireError);     // fields too short
-  EXPECT_THROW(decode_batch(framed(2, hex("09 00000004 00000001"))), WireError);     // a record is missing
-  EXPECT_THROW(decode_batch(framed(1, hex("09 00000004 00000001 00"))), WireError);  // and one byte too many
-  EXPECT_THROW(decode_batch(framed(1, hex("00 00000005 00 ffffffff"))), WireError);  // count overruns
+  EXPECT_THROW(decode_batch(framed(1, hex("02 00000004 00000001"))), WireError);  // fields too short
+  EXPECT_THROW(decode_batch(framed(2, hex("09 00000004 00000001"))), WireError);  // a record is missing
+  EXPECT_THROW(decode_batch(framed(1, hex("09 00000004 00000001 00"))),
+               WireError);  // a byte after the last record
+  EXPECT_THROW(decode_batch(framed(1, hex("00 00000005 00 ffffffff"))),
+               WireError);  // the count exceeds the input
   EXPECT_EQ(decode_batch(framed(1, hex("63 00000003 010203"))).records.size(), 0U);  // unknown: skipped
   EXPECT_EQ(decode_batch(framed(1, hex("09 00000006 00000001 0203"))).records.size(),
-            1U);  // longer: a later form
+            1U);  // longer: a later version of the record
 }
 
-TEST(BadInput, FuzzedFramesAreDecodedOrRejected) {
+TEST(MalformedInput, FuzzedFramesAreDecodedOrRejected) {
   std::mt19937_64 random(20261128);
   const Bytes good =
       framed(5, hex("09 00000004 00000003"
@@ -116,7 +118,7 @@
                     "43800000 01 42640000"
                     "08 0000001e 000336245d3a91c4 00000000 0000 03124a07 01 0000 00000000011a49a0 00"));
   std::size_t rejected = 0;
-  std::size_t taken = 0;
+  std::size_t decoded = 0;
   for (int i = 0; i < 20000; ++i) {
     Bytes bytes = good;
     for (std::uint64_t n = random() % 6; n > 0; --n)
@@ -125,13 +127,13 @@
     try {
       Host host([](const std::string&) {});
       host.answer(bytes);
-      ++taken;
+      ++decoded;
     } catch (const WireError&) {
       ++rejected;
     }
   }
   EXPECT_GT(rejected, 1000U);
-  EXPECT_GT(taken, 1000U);
+  EXPECT_GT(decoded, 1000U);
 }
 
 }  // namespace
