--- a/include/reeltack/actions.h
+++ b/include/reeltack/actions.h
@@ -19,8 +19,7 @@
   ServerId server{};
   Time expires_at{};
 };
-/// Final answer: the call was not accepted. `retry_after` advises the caller when to dial again; 0: no
-/// advice.
+/// Final answer: the call was not accepted. `retry_after` advises when to dial again; 0: no advice.
 struct Refuse {
   CallId call{};
   Duration retry_after{};
--- a/include/reeltack/events.h
+++ b/include/reeltack/events.h
@@ -27,8 +27,8 @@
   StartId start{};
 };
 
-/// Servers known to the gateway. A complete list replaces the previous one; otherwise only the entries given
-/// here change.
+/// Servers known to the gateway. A complete list replaces the previous one; other lists hold only the entries
+/// that change.
 struct ServerListReceived {
   bool complete = false;
   std::vector<ServerEntry> entries;
--- a/src/policy/arrival.h
+++ b/src/policy/arrival.h
@@ -6,11 +6,11 @@
 
 namespace reeltack::policy {
 
-// "d" of the paper, as a fraction of this gateway's rate of established calls. Small, since the bucket does
-// not look at worth.
+// "d" of the paper, as a fraction of this gateway's rate of established calls. Small, since the token bucket
+// ignores the worth of calls.
 constexpr double kGuaranteedFraction = 0.02;
-// A class is underserved if a smaller fraction of its tries than this is established, once enough tries have
-// been observed.
+// A class with at least kEnoughTries recent tries is underserved if a smaller fraction of them was
+// established.
 constexpr double kUnderservedFraction = 0.8;
 constexpr double kEnoughTries = 20.0;
 
--- a/src/policy/choice.h
+++ b/src/policy/choice.h
@@ -6,7 +6,7 @@
 
 namespace reeltack::policy {
 
-// "f" of step 3. Lower than kAimMargin, since a line idle beside another server's long queue is lost
+// "f" of step 3. Lower than kAimMargin, since a line that is idle while calls queue elsewhere is lost
 // capacity.
 constexpr double kSpillFraction = 0.3;
 // A server with less than this fraction of its lines free is treated as filling up; 0.35 was no better.
--- a/src/policy/outcomes.h
+++ b/src/policy/outcomes.h
@@ -81,8 +81,7 @@
     }
   }
 
-  // Step 5: a set-up answered with full goes once to another server that can take it; any other failure is
-  // final.
+  // Step 5: a set-up answered with full goes to one other server that can take it; other failures are final.
   void after_failure(Call& call, const AttemptEnded& ended) {
     const bool effect_matters = settings_.classes[call.request.call_class].effect != Effect::repeatable;
     const bool never_ran = ended.outcome == AttemptOutcome::full ||
--- a/src/policy/tests.h
+++ b/src/policy/tests.h
@@ -1,4 +1,4 @@
-// Expected delays of servers, whether a call would be answered in time at a server, and what a server may be
+// Expected delays of servers, whether a server would answer a call in time, and how much a server may be
 // sent: send slots at cold and unknown servers, and shares of the load. This layer sends, queues and answers
 // nothing.
 #pragma once
@@ -36,7 +36,7 @@
     return scaled(s.mean_delay, std::exp2(-seconds(now_ - s.measured_at) / std::max(half_life, 1.0e-9)));
   }
 
-  // Whether this call, queued at the server, would be answered within `fraction` of its aim and before its
+  // Whether the call, queued at the server, would be answered within this fraction of its aim and before its
   // caller leaves.
   [[nodiscard]] bool would_be_in_time(const Call& call, Server& s, double fraction) {
     if (held_back(s)) return false;
--- a/tests/full_size_test.cpp
+++ b/tests/full_size_test.cpp
@@ -56,8 +56,7 @@
   EXPECT_LT(sent_there, 30);
 }
 
-// A server that fails at once looks idle and quick; without the handling it attracted two thirds of all
-// attempts.
+// A server that fails at once looks idle and quick; such a server attracted two thirds of all attempts.
 TEST(QuickErrors, DoNotAttractCallsToAServer) {
   Gateway g;
   g.receive_list({ready(10, 0), ready(11, 1)});
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -1,5 +1,5 @@
-// A gateway for tests: drives a Controller in virtual time, records its actions, and checks the five rules on
-// each.
+// A gateway for tests: drives a Controller in virtual time, records its actions and checks the five rules on
+// all of them.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -168,8 +168,7 @@
   g.advance(1ms);
   for (std::uint64_t n = 2000; n < 2017; ++n) g.arrive(n, 1);
   g.advance(1s);
-  // Call 1000 took the token: it is established, while ordinary calls behind it that exceed the limit are
-  // refused.
+  // Call 1000 took the token: it is established, while ordinary calls beyond the limit are refused.
   g.establish(1000);
   EXPECT_FALSE(g.was_refused(1000));
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,4 @@
-// The five rules. Gateway checks them on every action; these tests create the situations that could break
-// them.
+// The five rules. Gateway checks them on every action; these tests create situations that could break a rule.
 #include <cmath>
 #include <random>
 
--- a/tests/slow_start/budget.h
+++ b/tests/slow_start/budget.h
@@ -10,7 +10,7 @@
 
 namespace reeltack::test {
 
-/// The fraction of its capacity that a server has at this age: it rises linearly from cold_from to 1 in the
+/// The fraction of its capacity that a server has at this age; rises linearly from cold_from to 1 over the
 /// ramp.
 double warmth(const Settings& settings, Duration age);
 
@@ -26,8 +26,8 @@
   [[nodiscard]] double fraction() const { return budget > 0.0 ? sent / budget : 0.0; }
 };
 
-/// Counts the requests that a server gets after one start; evaluates at each request the window that ends
-/// with it.
+/// Counts the requests that a server gets after one start, and evaluates the window that ends with each of
+/// them.
 class WindowAccount {
  public:
   WindowAccount(const Settings& settings, double capacity_per_second, Time started_at)
--- a/tests/slow_start/classes_test.cpp
+++ b/tests/slow_start/classes_test.cpp
@@ -1,5 +1,4 @@
-// The budget, in requests of mean work, where classes differ in work and the controllers do not know by how
-// much.
+// The budget, in requests of mean work, where classes differ in work by a factor unknown to the controllers.
 #include "run.h"
 
 namespace reeltack::test {
--- a/tests/start_failures_test.cpp
+++ b/tests/start_failures_test.cpp
@@ -1,5 +1,4 @@
-// Known failures at the start and without a list of servers. Each test fails without the code that handles
-// it.
+// Known failures at the start and without a server list. Each test fails without the code for its case.
 #include "gateway.h"
 
 namespace reeltack::test {
