--- a/adapter/decode.cpp
+++ b/adapter/decode.cpp
@@ -196,8 +196,7 @@
   FieldReader in(header, 0, "header");
   in.take_bytes(12);
   const auto after_length = in.take<std::uint32_t>();
-  if (after_length < 4)
-    throw WireError("length at byte 12 is less than the 4 bytes of the number of records");
+  if (after_length < 4) throw WireError("length at byte 12 is under 4: no room for the number of records");
   return after_length - 4;
 }
 
--- a/adapter/field_reader.h
+++ b/adapter/field_reader.h
@@ -51,7 +51,7 @@
  private:
   void require(std::size_t count) const {
     if (remaining() >= count) return;
-    throw WireError(std::string(what_) + " truncated at byte " + std::to_string(offset()) + ": " +
+    throw WireError(std::string(what_) + " cut short at byte " + std::to_string(offset()) + ": " +
                     std::to_string(count) + " bytes expected, " + std::to_string(remaining()) + " left");
   }
   std::span<const std::uint8_t> bytes_;
--- a/bench/module_figures.cpp
+++ b/bench/module_figures.cpp
@@ -119,11 +119,11 @@
       ++counts_["refused"];
       add(static_cast<std::uint64_t>(refuse->call));
       add(static_cast<std::uint64_t>(refuse->retry_after.count()));
-      redial(refuse->call, refuse->retry_after);
+      schedule_redial(refuse->call, refuse->retry_after);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       ++counts_["failed"];
       add(static_cast<std::uint64_t>(fail->call));
-      redial(fail->call, {});
+      schedule_redial(fail->call, {});
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       add(static_cast<std::uint64_t>(timer->at.time_since_epoch().count()));
       at(timer->at, TimerFired{timer->token});
@@ -160,7 +160,7 @@
     }
     at(now_ + ended.elapsed, ended);
   }
-  void redial(CallId id, Duration after) {
+  void schedule_redial(CallId id, Duration after) {
     const auto found = open_.find(id);
     if (found == open_.end()) return;
     CallArrived call = found->second;
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -10,7 +10,7 @@
 // The maximum number of sends in any window of fall_span, relative to what the rule allows if the server
 // warms up at half the slope of a linear ramp.
 double max_budget_fraction(const std::vector<Time>& sends, Time started, const Settings& s, double capacity) {
-  double max = 0.0;
+  double worst = 0.0;
   const double span = std::chrono::duration<double>(s.fall_span).count();
   for (const Time& from : sends) {
     const auto in_span = std::count_if(sends.begin(), sends.end(),
@@ -18,9 +18,9 @@
     const double age = std::chrono::duration<double>(from - started).count();
     const double ramp = std::chrono::duration<double>(s.ramp).count();
     const double warmth = s.cold_from + (1.0 - s.cold_from) * 0.5 * std::min(age / ramp, 1.0);
-    max = std::max(max, static_cast<double>(in_span) / (s.fall_multiple * warmth * capacity * span));
+    worst = std::max(worst, static_cast<double>(in_span) / (s.fall_multiple * warmth * capacity * span));
   }
-  return max;
+  return worst;
 }
 
 struct Size {
--- a/tests/slow_start/world.cpp
+++ b/tests/slow_start/world.cpp
@@ -44,8 +44,8 @@
   now_ = end;
 }
 
-Duration World::random_delay(Duration max) {
-  return from_seconds(uniform() * std::chrono::duration<double>(max).count());
+Duration World::random_delay(Duration max_delay) {
+  return from_seconds(uniform() * std::chrono::duration<double>(max_delay).count());
 }
 
 void World::set_load(double calls_per_second) {
@@ -72,15 +72,15 @@
   call.destination = static_cast<std::uint32_t>(random_() % std::max<std::size_t>(servers_.size(), 1));
   member.open_calls[call.call] = call.caller_leaves_at;
   member.class_of[call.call] = call.call_class;
-  at(call.caller_leaves_at, [this, i, run = member.run, id = call.call] {
+  at(call.caller_leaves_at, [this, i, generation = member.generation, id = call.call] {
     Member& m = members_[i];
-    if (m.run == run && m.open_calls.erase(id) > 0) report(i, run, CallerLeft{id});
+    if (m.generation == generation && m.open_calls.erase(id) > 0) report(i, generation, CallerLeft{id});
   });
-  report(i, member.run, call);
+  report(i, member.generation, call);
 }
 
-void World::report(std::size_t i, std::uint32_t run, const Event& event) {
-  if (members_[i].run != run) return;
+void World::report(std::size_t i, std::uint32_t generation, const Event& event) {
+  if (members_[i].generation != generation) return;
   ActionSink actions;
   members_[i].controller->on(now_, event, actions);
   for (const Action& action : actions) execute(i, action);
@@ -95,7 +95,9 @@
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     member.open_calls.erase(fail->call);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-    at(timer->at, [this, i, run = member.run, token = timer->token] { report(i, run, TimerFired{token}); });
+    at(timer->at, [this, i, generation = member.generation, token = timer->token] {
+      report(i, generation, TimerFired{token});
+    });
   }
 }
 
@@ -134,27 +136,27 @@
     ended.outcome = AttemptOutcome::timeout;
     return schedule_end(i, set_up.expires_at - now_, ended);
   }
-  at(answered_at,
-     [this, i, run = members_[i].run, start = server.start_number, set_up, attempt, sent_at = now_] {
-       Member& member = members_[i];
-       if (member.run != run) return;
-       if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
-         AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
-         lost.outcome = AttemptOutcome::reset;
-         lost.elapsed = now_ - sent_at;
-         lost.call_ended = !member.open_calls.contains(set_up.call);
-         return report(i, run, lost);
-       }
-       answered_ += member.open_calls.erase(set_up.call);
-       report(i, run, CallEstablished{set_up.call, attempt, set_up.server, now_ - sent_at});
-     });
+  at(answered_at, [this, i, generation = members_[i].generation, start = server.start_number, set_up, attempt,
+                   sent_at = now_] {
+    Member& member = members_[i];
+    if (member.generation != generation) return;
+    if (servers_.at(static_cast<std::uint32_t>(set_up.server)).start_number != start) {
+      AttemptEnded lost{.call = set_up.call, .attempt = attempt, .server = set_up.server};
+      lost.outcome = AttemptOutcome::reset;
+      lost.elapsed = now_ - sent_at;
+      lost.call_ended = !member.open_calls.contains(set_up.call);
+      return report(i, generation, lost);
+    }
+    answered_ += member.open_calls.erase(set_up.call);
+    report(i, generation, CallEstablished{set_up.call, attempt, set_up.server, now_ - sent_at});
+  });
 }
 
 void World::schedule_end(std::size_t i, Duration after, AttemptEnded ended) {
   ended.elapsed = after;
-  at(now_ + after, [this, i, run = members_[i].run, ended]() mutable {
+  at(now_ + after, [this, i, generation = members_[i].generation, ended]() mutable {
     ended.call_ended = !members_[i].open_calls.contains(ended.call);
-    report(i, run, ended);
+    report(i, generation, ended);
   });
 }
 
--- a/tests/slow_start/world.h
+++ b/tests/slow_start/world.h
@@ -65,7 +65,7 @@
  private:
   struct Member {
     std::unique_ptr<Controller> controller;
-    std::uint32_t run = 0;                          // number of its present run; counts its starts
+    std::uint32_t generation = 0;                   // number of its present run; counts its starts
     std::map<std::uint32_t, Time> known_starts{};   // of each server, as it was notified
     std::unordered_map<CallId, Time> open_calls{};  // calls without a final answer; when their callers leave
     std::unordered_map<CallId, std::uint32_t> class_of{};
@@ -92,7 +92,7 @@
   void start_controller(std::size_t member);
   void schedule_arrival(std::uint64_t stream);
   void arrive();
-  void report(std::size_t member, std::uint32_t run, const Event& event);
+  void report(std::size_t member, std::uint32_t generation, const Event& event);
   void execute(std::size_t member, const Action& action);
   void send(std::size_t member, const SendSetUp& send);
   void answer(std::size_t member, const SendSetUp& send, std::uint32_t attempt, double work);
@@ -100,7 +100,7 @@
   void notify(std::uint32_t server, Duration max_delay);
   [[nodiscard]] static ServerEntry list_entry(std::uint32_t id, const FakeServer& server);
   double uniform() { return std::uniform_real_distribution<double>()(random_); }
-  Duration random_delay(Duration max);
+  Duration random_delay(Duration max_delay);
 
   WorldPlan plan_;
   std::mt19937_64 random_;
--- a/tests/slow_start/world_servers.cpp
+++ b/tests/slow_start/world_servers.cpp
@@ -17,15 +17,16 @@
 
 void World::start_controller(std::size_t i) {
   Member& member = members_[i];
-  const std::uint32_t run = member.run + 1;
-  member = Member{.controller = std::make_unique<Controller>(plan_.settings, random_()), .run = run};
+  const std::uint32_t generation = member.generation + 1;
+  member =
+      Member{.controller = std::make_unique<Controller>(plan_.settings, random_()), .generation = generation};
   ServerListReceived list{.complete = true, .entries = {}};
   for (const auto& [id, server] : servers_) {
     if (!server.listed) continue;
     list.entries.push_back(list_entry(id, server));
     member.known_starts[id] = server.started_at;
   }
-  if (!list.entries.empty()) report(i, run, list);
+  if (!list.entries.empty()) report(i, generation, list);
 }
 
 void World::add_warm(std::uint32_t id, double capacity_per_second) {
@@ -58,10 +59,10 @@
 void World::notify(std::uint32_t id, Duration max_delay) {
   const ServerEntry entry = list_entry(id, servers_.at(id));
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    at(now_ + random_delay(max_delay), [this, i, run = members_[i].run, id, entry] {
-      if (members_[i].run != run) return;
+    at(now_ + random_delay(max_delay), [this, i, generation = members_[i].generation, id, entry] {
+      if (members_[i].generation != generation) return;
       members_[i].known_starts[id] = entry.started_at;
-      report(i, run, ServerListReceived{.complete = false, .entries = {entry}});
+      report(i, generation, ServerListReceived{.complete = false, .entries = {entry}});
     });
   }
 }
