--- a/tests/slow_start/world.cpp
+++ b/tests/slow_start/world.cpp
@@ -23,7 +23,7 @@
 World::World(WorldPlan plan) : plan_(std::move(plan)), random_(plan_.seed) {
   if (plan_.traffic.empty()) plan_.traffic.assign(plan_.controllers, 1.0);
   if (plan_.class_work.empty()) plan_.class_work.assign(plan_.settings.classes.size(), 1.0);
-  next_caller_ = {plan_.traffic.begin(), plan_.traffic.end()};
+  next_controller_ = {plan_.traffic.begin(), plan_.traffic.end()};
   mean_work_ = std::accumulate(plan_.class_work.begin(), plan_.class_work.end(), 0.0) /
                static_cast<double>(plan_.class_work.size());
   members_.resize(plan_.controllers);
@@ -63,7 +63,7 @@
 }
 
 void World::arrive() {
-  const std::size_t i = next_caller_(random_);
+  const std::size_t i = next_controller_(random_);
   Member& member = members_[i];
   CallArrived call{.call = CallId{++next_call_}};
   call.call_class = static_cast<std::uint32_t>(random_() % plan_.settings.classes.size());
--- a/tests/slow_start/world.h
+++ b/tests/slow_start/world.h
@@ -104,7 +104,7 @@
 
   WorldPlan plan_;
   std::mt19937_64 random_;
-  std::discrete_distribution<std::size_t> next_caller_;  // the controller that gets the next call
+  std::discrete_distribution<std::size_t> next_controller_;  // the controller that gets the next call
   double mean_work_ = 1.0;
   std::vector<Member> members_;
   std::map<std::uint32_t, FakeServer> servers_;
