--- a/src/fleet/news/news.cpp
+++ b/src/fleet/news/news.cpp
@@ -9,12 +9,12 @@
 namespace reeltack::fleet::news {
 namespace {
 
-using recovery::Seen;
+using recovery::OfficeState;
 
 constexpr std::size_t kMostLives = 4;     // addresses of one start
 constexpr std::size_t kMostAhead = 1024;  // facts told ahead of older ones
 
-bool is_over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
+bool is_over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
 
 std::optional<recovery::OfficeValue> read(const facts::Fact& fact) {
   if (fact.key.kind != facts::Kind::office || fact.deleted || fact.version == 0) return std::nullopt;
@@ -38,8 +38,9 @@
     : settings_(settings), self_(self), draws_(seed ^ 0x6e657773ULL) {}
 
 bool News::is_news(const Value& value) const {
-  if (!value.told || (!is_over(value.told->seen) && value.told->seen != Seen::ready)) return false;
-  const bool over = is_over(value.told->seen);
+  if (!value.listed || (!is_over(value.listed->state) && value.listed->state != OfficeState::ready))
+    return false;
+  const bool over = is_over(value.listed->state);
   const auto found = known_.find(value.office.id);
   if (found == known_.end()) return over && known_.size() < settings_.most_offices;
   const Known& known = found->second;
@@ -51,13 +52,13 @@
 }
 
 void News::know(MemberId by, const Value& value) {
-  if (!value.told || (!is_over(value.told->seen) && value.told->seen != Seen::ready)) return;
+  if (!value.listed || (!is_over(value.listed->state) && value.listed->state != OfficeState::ready)) return;
   const auto found = known_.find(value.office.id);
   if (found == known_.end() && known_.size() >= settings_.most_offices) return;
   Known& known = known_[value.office.id];
   if (value.office.start < known.start) return;
   if (value.office.start > known.start) known = {value.office.start, {}};
-  const bool over = is_over(value.told->seen);
+  const bool over = is_over(value.listed->state);
   const auto life = std::find_if(known.lives.begin(), known.lives.end(),
                                  [&](const Life& l) { return l.at == value.office.at; });
   if (life == known.lives.end()) {
@@ -102,7 +103,7 @@
   std::vector<facts::Fact> news;
   for (const facts::Fact& fact : message.facts) {
     const auto value = read(fact);
-    if (!value || !value->told) {
+    if (!value || !value->listed) {
       ++counts_.malformed;
     } else if (fact.owner == self_) {
       ++counts_.own;
--- a/src/fleet/recovery/check.cpp
+++ b/src/fleet/recovery/check.cpp
@@ -32,7 +32,7 @@
   if (terms_)
     for (const Terms::Line& line : terms_->offices) {
       const OfficeAssessment judged = offices_.judge(last_, line.office.id);
-      const bool over = judged.rank == Rank::told && judged.verdict == Verdict::barred;
+      const bool over = judged.rank == Rank::listed && judged.verdict == Verdict::barred;
       hold(!over || line.verdict == Verdict::barred, "what a list bars may be used");
       hold(!line.ours || line.verdict == Verdict::trial, "tried by us, yet not on trial");
     }
--- a/src/fleet/recovery/keeping.cpp
+++ b/src/fleet/recovery/keeping.cpp
@@ -23,16 +23,16 @@
     return;
   std::string value = text();
   written_[key] = {value, now, sense};
-  actions.emplace_back(Keep{key, std::move(value)});
+  actions.emplace_back(Persist{key, std::move(value)});
 }
 
 std::vector<Evidence> Recovery::kept_offices() const {
   std::vector<Evidence> offices;
   for (const OfficeAssessment& j : judged_) {
-    Evidence e{j.office, Rank::kept, j.seen, self_, j.age};
-    if (j.rank == Rank::told && bulletin_ && j.verdict == Verdict::trusted) e.age = Duration{};
-    if (j.seen == Seen::absent) continue;
-    if (j.cold) e.warm = j.warm_for - std::min(j.warm_for, e.age.value_or(Duration{}));
+    Evidence e{j.office, Rank::stored, j.state, self_, j.age};
+    if (j.rank == Rank::listed && bulletin_ && j.verdict == Verdict::trusted) e.age = Duration{};
+    if (j.state == OfficeState::absent) continue;
+    if (j.cold) e.uptime = j.uptime - std::min(j.uptime, e.age.value_or(Duration{}));
     offices.push_back(e);
   }
   return offices;
@@ -52,7 +52,7 @@
   if (bulletin_) {
     Hash lives;
     for (const OfficeAssessment& j : judged_) {
-      if (j.rank != Rank::told) continue;
+      if (j.rank != Rank::listed) continue;
       lives.add(static_cast<std::uint64_t>(j.office.id)).add(j.office.start);
       lives.add(std::uint64_t{j.verdict == Verdict::barred});
     }
@@ -63,10 +63,10 @@
   if (list == written_.end() || now - list->second.at >= kChanged) {
     Hash hash;
     for (const OfficeAssessment& j : judged_) {
-      if (j.seen == Seen::absent) continue;
+      if (j.state == OfficeState::absent) continue;
       hash.add(static_cast<std::uint64_t>(j.office.id)).add(j.office.start);
       hash.add(std::uint64_t{j.office.at.address} << 16U | j.office.at.port)
-          .add(static_cast<std::uint64_t>(j.seen));
+          .add(static_cast<std::uint64_t>(j.state));
     }
     const int seen = static_cast<int>(hash.value() & 0x7fffffffU);
     const ListId id{epochs_.epoch(), epochs_.number(), list_.digest};
--- a/src/fleet/recovery/offices.cpp
+++ b/src/fleet/recovery/offices.cpp
@@ -23,8 +23,8 @@
   const Evidence& e = line.evidence;
   if (e.office.start < known.ended_start) return false;
   for (const Line& l : known.lines)  // taken back since, as this came late
-    if (const Evidence& had = l.evidence; e.office.start == 0 && had.rank == Rank::told &&
-                                          had.source == e.source && had.seen == Seen::ready &&
+    if (const Evidence& had = l.evidence; e.office.start == 0 && had.rank == Rank::listed &&
+                                          had.source == e.source && had.state == OfficeState::ready &&
                                           had.office.at == e.office.at && of(l.as_of) > of(line.as_of))
       return false;
   if (const auto back = known.back.find(e.office.at);
@@ -35,8 +35,8 @@
   for (Ended& had : known.ended) {
     if (had.office.at != e.office.at) continue;
     // Of several who called it so the highest name holds it, whoever was first.
-    const bool changed = worse(e.seen) > worse(had.seen);
-    if (changed) had.seen = e.seen;
+    const bool changed = worse(e.state) > worse(had.state);
+    if (changed) had.state = e.state;
     had.office = std::max(had.office, e.office);
     had.list = std::max(had.list, e.list);
     had.by = std::max(had.by, e.source);
@@ -45,7 +45,7 @@
     return changed;
   }
   if (known.ended.size() >= settings_.max_sources) return false;
-  known.ended.push_back({e.office, e.seen, e.source, of(line.as_of), e.list, {e.source}});
+  known.ended.push_back({e.office, e.state, e.source, of(line.as_of), e.list, {e.source}});
   std::sort(known.ended.begin(), known.ended.end(),
             [](const Ended& a, const Ended& b) { return a.office.at < b.office.at; });
   return true;
@@ -79,8 +79,8 @@
   }
   if (start == known.first_start && line.as_of) {
     known.first = std::min(known.first.value_or(*line.as_of), *line.as_of);
-    if (evidence.warm) {
-      const Time born = *line.as_of - *evidence.warm;
+    if (evidence.uptime) {
+      const Time born = *line.as_of - *evidence.uptime;
       known.born = std::min(known.born.value_or(born), born);
     }
   }
@@ -88,8 +88,8 @@
   bool changed = false;
   const Part part = part_of(evidence);
   if (part == Part::list) known.changed();
-  if (part == Part::list && over(evidence.seen)) changed = end(known, line);
-  if (part == Part::list && evidence.seen == Seen::ready && start == 0 && known.ended_start == 0)
+  if (part == Part::list && over(evidence.state)) changed = end(known, line);
+  if (part == Part::list && evidence.state == OfficeState::ready && start == 0 && known.ended_start == 0)
     changed = take_back(known, line);
   const auto key = [](const Line& l) { return std::pair(l.evidence.source, part_of(l.evidence)); };
   const auto place = std::lower_bound(known.lines.begin(), known.lines.end(), line,
@@ -101,13 +101,13 @@
   }
   const auto order = [](const Line& l) {
     const Evidence& e = l.evidence;
-    return std::tuple(e.office.start, e.list, of(l.as_of), worse(e.seen), e.office, e.warm);
+    return std::tuple(e.office.start, e.list, of(l.as_of), worse(e.state), e.office, e.uptime);
   };
   Line& had = *place;
   // The same sight under another rank: its source has turned out to be a survivor, or no longer one.
   const bool ranked = had.evidence.rank != evidence.rank;
   if (order(line) < order(had) || (order(line) == order(had) && !ranked)) return changed;
-  changed |= ranked || had.evidence.seen != evidence.seen || had.evidence.office != evidence.office ||
+  changed |= ranked || had.evidence.state != evidence.state || had.evidence.office != evidence.office ||
              had.evidence.list != evidence.list || part != Part::list;
   had = line;
   known.changed();
@@ -151,8 +151,8 @@
     const auto told = std::find_if(known.lines.begin(), known.lines.end(), list);
     const bool seen = std::any_of(known.lines.begin(), known.lines.end(),
                                   [&](const Line& l) { return of_source(l, Part::eyes); });
-    if (seen || told->evidence.seen != Seen::ready) {
-      if (!over(told->evidence.seen)) known.lines.erase(told);
+    if (seen || told->evidence.state != OfficeState::ready) {
+      if (!over(told->evidence.state)) known.lines.erase(told);
       continue;
     }
     told->evidence.rank = as;  // the place is the same: a source's list stands right before its eyes
@@ -189,13 +189,13 @@
     for (const Line& l : known.lines) {
       const Evidence& e = l.evidence;
       office(e.office);
-      hash.add(static_cast<std::uint64_t>(e.rank) << 8U | static_cast<std::uint64_t>(e.seen));
+      hash.add(static_cast<std::uint64_t>(e.rank) << 8U | static_cast<std::uint64_t>(e.state));
       hash.add(static_cast<std::uint64_t>(e.source)).add(e.list.epoch).add(e.list.number).add(e.list.digest);
       hash.since(of(l.as_of), now);
     }
     for (const Ended& e : known.ended) {
       office(e.office);
-      hash.add(static_cast<std::uint64_t>(e.seen));
+      hash.add(static_cast<std::uint64_t>(e.state));
       if (e.office.start == 0)
         for (const MemberId caller : e.callers) hash.add(static_cast<std::uint64_t>(caller));
     }
--- a/src/fleet/recovery/offices.h
+++ b/src/fleet/recovery/offices.h
@@ -52,9 +52,9 @@
   double capacity = 1.0;
   auto operator<=>(const Office&) const = default;
 };
-enum class Rank : std::uint8_t { told, survivor, own, peer, kept };
+enum class Rank : std::uint8_t { listed, survivor, own, peer, stored };
 // absent: a complete list that does not name it; bars while that list stands, and does not stick.
-enum class Seen : std::uint8_t { ready, answered, draining, gone, refused, silent, absent };
+enum class OfficeState : std::uint8_t { ready, answered, draining, gone, refused, silent, absent };
 // Of two lists the higher counts, everywhere.
 struct ListId {
   std::uint64_t epoch = 0, number = 0, digest = 0;
@@ -63,11 +63,11 @@
 struct Evidence {
   Office office;
   Rank rank{};
-  Seen seen{};
-  MemberId source{};                  // who saw it; the own process included
-  std::optional<Duration> age;        // none: unknown, as the oldest
-  ListId list{};                      // of rank told: of which list
-  std::optional<Duration> warm = {};  // how long the office had run then, where it is known
+  OfficeState state{};
+  MemberId source{};                    // who saw it; the own process included
+  std::optional<Duration> age;          // none: unknown, as the oldest
+  ListId list{};                        // of rank told: of which list
+  std::optional<Duration> uptime = {};  // how long the office had run then, where it is known
 };
 
 // barred: nothing new goes there. trial: one set-up at a time, by the one member whose turn it is. trusted.
@@ -76,10 +76,10 @@
   Office office;
   Verdict verdict{};
   Rank rank{};  // of what decided
-  Seen seen{};
-  double trust = 0.0;   // of what was kept, where that decided
-  bool cold = false;    // its start is younger than the ramp, as far as is known
-  Duration warm_for{};  // since its start, a lower bound; where not known nought
+  OfficeState state{};
+  double trust = 0.0;  // of what was kept, where that decided
+  bool cold = false;   // its start is younger than the ramp, as far as is known
+  Duration uptime{};   // since its start, a lower bound; where not known nought
   const char* reason = "";
   MemberId source{};              // of what decided; nobody where a store or nothing did
   std::optional<Duration> age{};  // of what decided; none: unknown
@@ -119,7 +119,7 @@
   };
   struct Ended {  // a life, by its start and address, that a list calls draining or gone
     Office office;
-    Seen seen{};
+    OfficeState state{};
     MemberId by{};
     Time as_of{};
     ListId list{};
@@ -130,7 +130,7 @@
     Office office;
     Verdict verdict{};
     Rank rank{};
-    Seen seen{};
+    OfficeState state{};
     const char* reason = "";
     MemberId source{};
     std::optional<Time> as_of;  // of the line that decided; none: unknown, or no line did
--- a/src/fleet/recovery/opening.cpp
+++ b/src/fleet/recovery/opening.cpp
@@ -58,7 +58,7 @@
       weight += said.capacity;
     }
     refused += said.last.refused + said.last.failed;
-    answers += static_cast<double>(said.last.stood) + said.last.refused + said.last.failed;
+    answers += static_cast<double>(said.last.established) + said.last.refused + said.last.failed;
   }
   const double most = 1.0 / seconds(least_);
   if (answers > 0.0 && refused >= kBack * answers) return -kBack * most;
--- a/src/fleet/recovery/peers.cpp
+++ b/src/fleet/recovery/peers.cpp
@@ -8,7 +8,7 @@
 namespace reeltack::fleet::recovery {
 namespace {
 using namespace std::chrono_literals;
-bool over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
+bool over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
 }  // namespace
 
 void Recovery::take(Time now, const FactReceived& told) {
@@ -76,7 +76,7 @@
 // Of this life of it nothing has been heard: it may be asking, and counts who has spoken since it began. So
 // it is answered by a fresh word in this very exchange; its own word that it asks would come with the last
 // step.
-void Recovery::take(Time /*now*/, const Asked& asked) {
+void Recovery::take(Time /*now*/, const ExchangeStarted& asked) {
   const auto peer = peers_.find(asked.member);
   const bool known =
       peer != peers_.end() && peer->second.stage && peer->second.incarnation >= asked.incarnation;
@@ -135,18 +135,18 @@
 void Recovery::believe(Time now, MemberId member, const Peer& peer, const Held& held) {
   const Rank seen = peer.survivor ? Rank::survivor : Rank::peer;
   const auto say = [&](Rank rank, const Observation& sight) {
-    Evidence e{held.value.office, rank, sight.seen, member, (now - held.at) + sight.age};
-    if (rank == Rank::told) e.list = peer.list.id;
-    if (held.value.warm) e.warm = *held.value.warm - std::min(sight.age, *held.value.warm);
+    Evidence e{held.value.office, rank, sight.state, member, (now - held.at) + sight.age};
+    if (rank == Rank::listed) e.list = peer.list.id;
+    if (held.value.uptime) e.uptime = *held.value.uptime - std::min(sight.age, *held.value.uptime);
     if (offices_.saw(now, e)) judged_until_ = Time::min();
   };
-  if (const auto& told = held.value.told) {
-    if (over(told->seen) || peer.list.live)
-      say(Rank::told, *told);
-    else if (told->seen == Seen::ready && !held.value.eyes)
+  if (const auto& told = held.value.listed) {
+    if (over(told->state) || peer.list.live)
+      say(Rank::listed, *told);
+    else if (told->state == OfficeState::ready && !held.value.observed)
       say(seen, *told);
   }
-  if (held.value.eyes) say(seen, *held.value.eyes);
+  if (held.value.observed) say(seen, *held.value.observed);
 }
 
 void Recovery::believe_all(Time now, MemberId member, const Peer& peer) {
@@ -159,8 +159,8 @@
 void Recovery::tell_absent(Time now) {
   if (!bulletin_ || !whole_list_) return;
   for (const OfficeAssessment& known : offices_.all(now)) {
-    if (told_.contains(known.office.id) || over(known.seen)) continue;
-    Evidence e{known.office, Rank::told, Seen::absent, self_, Duration{}};
+    if (told_.contains(known.office.id) || over(known.state)) continue;
+    Evidence e{known.office, Rank::listed, OfficeState::absent, self_, Duration{}};
     e.list = list_;
     offices_.saw(now, e);
   }
--- a/src/fleet/recovery/publishing.cpp
+++ b/src/fleet/recovery/publishing.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kNews = 1s;        // after the list was heard
 // A fact's sense, to compare it by: what is told, what is seen, of which life.
 constexpr int kToldSense = 7;
-constexpr int sense_of(Seen seen) { return 1 + static_cast<int>(seen); }  // nought: nothing
+constexpr int sense_of(OfficeState seen) { return 1 + static_cast<int>(seen); }  // nought: nothing
 double rounded(double rate) {  // to an eighth, so that a small change is not told
   if (rate < 0.01) return 0.0;
   return std::exp2(std::round(std::log2(rate) * 6.0) / 6.0);
@@ -108,7 +108,7 @@
 bool Recovery::said_not_over(ServerId id) const {
   const auto had = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
   const int told = had == published_.end() ? 0 : had->second.sense & kToldSense;
-  return told == sense_of(Seen::ready) || told == sense_of(Seen::absent);
+  return told == sense_of(OfficeState::ready) || told == sense_of(OfficeState::absent);
 }
 
 std::optional<OfficeValue> Recovery::value_of(Time now, const OfficeAssessment& judged) const {
@@ -118,17 +118,17 @@
   const auto told = told_.find(id);
   if (told != told_.end()) {
     value.office = told->second.office;
-    if (bulletin_ || over(told->second.seen)) value.told = Observation{told->second.seen, {}};
-  } else if (bulletin_ && whole_list_ && (!over(judged.seen) || said_not_over(id))) {
+    if (bulletin_ || over(told->second.state)) value.listed = Observation{told->second.state, {}};
+  } else if (bulletin_ && whole_list_ && (!over(judged.state) || said_not_over(id))) {
     value.office = judged.office;
-    value.told = Observation{Seen::absent, {}};
+    value.listed = Observation{OfficeState::absent, {}};
   }
-  if (own != own_.end() && (!value.told || own->second.office.start == value.office.start)) {
-    if (!value.told) value.office = own->second.office;
-    value.eyes = Observation{own->second.seen, now - own->second.at};
+  if (own != own_.end() && (!value.listed || own->second.office.start == value.office.start)) {
+    if (!value.listed) value.office = own->second.office;
+    value.observed = Observation{own->second.state, now - own->second.at};
   }
-  if (!value.eyes && !value.told) return std::nullopt;
-  if (judged.cold && judged.office == value.office) value.warm = judged.warm_for;
+  if (!value.observed && !value.listed) return std::nullopt;
+  if (judged.cold && judged.office == value.office) value.uptime = judged.uptime;
   return value;
 }
 
@@ -137,19 +137,19 @@
 Recovery::Due Recovery::due_of(Time now, const OfficeAssessment& judged, const OfficeValue& value,
                                bool others, bool speaker) const {
   const ServerId id = judged.office.id;
-  const bool ended = value.told && over(value.told->seen);
-  const bool contrary = value.eyes && up(value.eyes->seen) != (judged.verdict == Verdict::trusted);
-  const bool tried = value.eyes && recovering_ && value.eyes->age < 1s && judged.rank != Rank::told;
+  const bool ended = value.listed && over(value.listed->state);
+  const bool contrary = value.observed && up(value.observed->state) != (judged.verdict == Verdict::trusted);
+  const bool tried = value.observed && recovering_ && value.observed->age < 1s && judged.rank != Rank::listed;
   const auto had = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
-  const int told_sense = value.told ? sense_of(value.told->seen) : 0;
+  const int told_sense = value.listed ? sense_of(value.listed->state) : 0;
   const std::uint64_t life = mix(mix(value.office.start, value.office.at.address), value.office.at.port);
   Due due;
-  due.sense = told_sense + 8 * (value.eyes ? sense_of(value.eyes->seen) : 0) +
+  due.sense = told_sense + 8 * (value.observed ? sense_of(value.observed->state) : 0) +
               64 * static_cast<int>(life & 0xffffffU);
   const bool changed = had == published_.end() || had->second.sense != due.sense;
   const Duration since = had == published_.end() ? Duration::max() : now - had->second.at;
   const bool moved =
-      changed && value.told && had != published_.end() && had->second.sense / 64 != due.sense / 64;
+      changed && value.listed && had != published_.end() && had->second.sense / 64 != due.sense / 64;
   const bool told_change =
       moved || (had != published_.end() && (had->second.sense & kToldSense) != told_sense);
   // Told by so many of the same life that one more adds nothing; who has told otherwise takes it back.
@@ -159,17 +159,18 @@
       const auto held = peer.offices.find(id);
       if (held == peer.offices.end() || !live_.contains(member)) continue;
       const OfficeValue& said = held->second.value;
-      if (said.eyes && up(said.eyes->seen) == up(value.eyes->seen) && said.office == value.office &&
-          held->second.at - said.eyes->age >= asked_ && ++tellers >= kSpeakers)
+      if (said.observed && up(said.observed->state) == up(value.observed->state) &&
+          said.office == value.office && held->second.at - said.observed->age >= asked_ &&
+          ++tellers >= kSpeakers)
         return true;
     }
     return false;
   };
   // A life that nobody else has named since the list was heard.
-  const bool news = value.told && now - heard_ < kNews && changed && news_.contains(id) &&
+  const bool news = value.listed && now - heard_ < kNews && changed && news_.contains(id) &&
                     std::none_of(peers_.begin(), peers_.end(), [&](const auto& at) {
                       const auto held = at.second.offices.find(id);
-                      return held != at.second.offices.end() && held->second.value.told &&
+                      return held != at.second.offices.end() && held->second.value.listed &&
                              held->second.value.office.start >= value.office.start &&
                              held->second.value.office.at == value.office.at;
                     });
--- a/src/fleet/recovery/recovery.cpp
+++ b/src/fleet/recovery/recovery.cpp
@@ -39,13 +39,13 @@
   if (stage_ != Stage::dark || asked_ != Time::min()) return;  // once
   asked_ = now;
   if (!restored.kept) return;
-  const Kept& kept = *restored.kept;
+  const PersistedState& kept = *restored.kept;
   kept_ = true;
   served_ = kept.served;
   fresh_ = !kept.other_fleet && kept.age && *kept.age >= Duration{} && *kept.age <= settings_.fresh &&
            kept.stage == Stage::full;
   for (Evidence e : kept.offices) {
-    e.rank = Rank::kept;
+    e.rank = Rank::stored;
     e.source = self_;
     if (kept.other_fleet || (e.age && *e.age < Duration{})) e.age.reset();
     offices_.saw(now, e);
@@ -99,7 +99,7 @@
       ++counts_.over_bound;
       continue;
     }
-    e.rank = Rank::told;
+    e.rank = Rank::listed;
     e.source = self_;
     told_[e.office.id] = e;
   }
@@ -112,10 +112,11 @@
   heard_ = now;
   whole_list_ |= heard.complete;
   list_ = {epochs_.told(heard.number, heard.restarts), heard.number, 0};
-  for (const auto& [id, e] : told_) {    // whatever the order in which it was told
-    if (e.seen == Seen::gone) continue;  // whoever has heard the list since then alone does not know of it
+  for (const auto& [id, e] : told_) {  // whatever the order in which it was told
+    if (e.state == OfficeState::gone)
+      continue;  // whoever has heard the list since then alone does not know of it
     Hash hash;
-    hash.add(static_cast<std::uint64_t>(id)).add(e.office.start).add(static_cast<std::uint64_t>(e.seen));
+    hash.add(static_cast<std::uint64_t>(id)).add(e.office.start).add(static_cast<std::uint64_t>(e.state));
     list_.digest += hash.add(std::uint64_t{e.office.at.address} << 16U | e.office.at.port).value();
   }
   name_list(now);
@@ -136,7 +137,7 @@
     e.list = list_;
     if (!e.age) e.age = Duration{};
     offices_.saw(now, e);
-    e.warm.reset();  // it was true when it was told
+    e.uptime.reset();  // it was true when it was told
   }
   tell_absent(now);
   judged_until_ = Time::min();
@@ -145,7 +146,7 @@
 // As what was kept, of unknown age: it outranks nobody, and nobody is told of it.
 void Recovery::take_unfollowed(Time now, const ListReceived& heard) {
   for (Evidence e : heard.offices) {
-    e.rank = Rank::kept;
+    e.rank = Rank::stored;
     e.source = self_;
     e.age.reset();
     offices_.saw(now, e);
@@ -168,7 +169,7 @@
   if (!e.age || *e.age < Duration{}) e.age = Duration{};
   if (!own_.contains(e.office.id) && own_.size() >= settings_.offices.most_offices) return;
   offices_.saw(now, e);
-  own_[e.office.id] = {e.office, e.seen, now - *e.age};
+  own_[e.office.id] = {e.office, e.state, now - *e.age};
   judged_until_ = Time::min();
 }
 
@@ -180,7 +181,7 @@
 
 void Recovery::take(Time /*now*/, const CarriedRate& carried) {
   if (carried_.contains(carried.office) || carried_.size() < kMaxValueOffices)
-    carried_[carried.office] = std::max(carried.a_second, 0.0), carried_news_ = true;
+    carried_[carried.office] = std::max(carried.per_second, 0.0), carried_news_ = true;
 }
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/recovery.h
+++ b/src/fleet/recovery/recovery.h
@@ -94,7 +94,7 @@
   };
   struct Own {  // seen with the own eyes
     Office office;
-    Seen seen{};
+    OfficeState state{};
     Time at{};
   };
   struct Peak {
@@ -146,7 +146,7 @@
   void take(Time now, const OfficeObserved& seen);
   void take(Time now, const OfficeLoad& pressure);
   void take(Time now, const CarriedRate& carried);
-  void take(Time now, const Asked& asked);
+  void take(Time now, const ExchangeStarted& asked);
   // peers.cpp
   bool take_stage(Time now, Peer& peer, const Told& fact);
   bool take_list(Time now, MemberId member, Peer& peer, const Told& fact);
--- a/src/fleet/recovery/recovery_types.h
+++ b/src/fleet/recovery/recovery_types.h
@@ -39,7 +39,7 @@
 };
 
 // ---- what the store kept; ages absent where unknown, in the future, or of another fleet.
-struct Kept {
+struct PersistedState {
   std::optional<Duration> age;  // of the stage: the true one, never by a wall clock
   bool other_fleet = false;
   std::uint64_t list_epoch = 0, list_number = 0;
@@ -52,7 +52,7 @@
 
 // ---- events
 struct Restored {
-  std::optional<Kept> kept;
+  std::optional<PersistedState> kept;
 };
 struct LinkUp {};              // the fleet can be asked; never where there is none
 struct MembersChanged {        // after every change of the table
@@ -67,7 +67,7 @@
 struct MemberRemoved {
   MemberId member{};
 };
-struct Asked {  // a member begins to exchange facts with this one
+struct ExchangeStarted {  // a member begins to exchange facts with this one
   MemberId member{};
   Incarnation incarnation = 0;  // its own, as it names it
 };
@@ -86,14 +86,15 @@
 struct OfficeLoad {  // since the last one, of one office: by its reports and answers
   ServerId office{};
   double util = -1.0;  // as reported; negative: not told
-  std::uint32_t stood = 0, refused = 0, failed = 0;
+  std::uint32_t established = 0, refused = 0, failed = 0;
 };
 struct CarriedRate {  // the own part of what an office carries now: set-ups that stood a second
   ServerId office{};
-  double a_second = 0.0;
+  double per_second = 0.0;
 };
-using Event = std::variant<Restored, LinkUp, MembersChanged, FactReceived, MemberRemoved, ListReceived,
-                           ListCaughtUp, SourceUnreachable, OfficeObserved, OfficeLoad, CarriedRate, Asked>;
+using Event =
+    std::variant<Restored, LinkUp, MembersChanged, FactReceived, MemberRemoved, ListReceived, ListCaughtUp,
+                 SourceUnreachable, OfficeObserved, OfficeLoad, CarriedRate, ExchangeStarted>;
 
 // ---- actions
 struct StageChanged {
@@ -115,14 +116,14 @@
   facts::Key key;
   std::optional<std::string> value;
 };  // none: erased
-struct Keep {
+struct Persist {
   std::string key;
   std::string value;
 };  // in the store
 struct Note {
   std::string text;
 };  // what was trusted and why, for the log
-using Action = std::variant<StageChanged, Terms, Publish, Keep, Note>;
+using Action = std::variant<StageChanged, Terms, Publish, Persist, Note>;
 using Actions = std::vector<Action>;
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/sight.h
+++ b/src/fleet/recovery/sight.h
@@ -9,31 +9,31 @@
 
 enum class Part : std::uint8_t { list, eyes, store };
 inline Part part_of(const Evidence& e) {
-  if (e.rank == Rank::told) return Part::list;
-  return e.rank == Rank::kept ? Part::store : Part::eyes;
+  if (e.rank == Rank::listed) return Part::list;
+  return e.rank == Rank::stored ? Part::store : Part::eyes;
 }
 // Of equal age the higher counts.
-inline int worse(Seen seen) {
+inline int worse(OfficeState seen) {
   switch (seen) {
-    case Seen::answered:
+    case OfficeState::answered:
       return 0;
-    case Seen::ready:
+    case OfficeState::ready:
       return 1;
-    case Seen::silent:
+    case OfficeState::silent:
       return 2;
-    case Seen::refused:
+    case OfficeState::refused:
       return 3;
-    case Seen::absent:
+    case OfficeState::absent:
       return 4;
-    case Seen::draining:
+    case OfficeState::draining:
       return 5;
-    case Seen::gone:
+    case OfficeState::gone:
       return 6;
   }
   return 6;
 }
-inline bool up(Seen seen) { return seen == Seen::ready || seen == Seen::answered; }
-inline bool over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
+inline bool up(OfficeState seen) { return seen == OfficeState::ready || seen == OfficeState::answered; }
+inline bool over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
 inline Time of(std::optional<Time> as_of) { return as_of.value_or(Time::min()); }
 inline Duration since(Time now, Time at) { return at == Time::min() ? Duration::max() : now - at; }
 
--- a/src/fleet/recovery/stages.cpp
+++ b/src/fleet/recovery/stages.cpp
@@ -48,7 +48,7 @@
   double listed = 0.0;
   double trusted = 0.0;
   for (const OfficeAssessment& judged : judged_) {
-    if (judged.verdict == Verdict::barred && judged.rank == Rank::told) continue;  // no longer of the list
+    if (judged.verdict == Verdict::barred && judged.rank == Rank::listed) continue;  // no longer of the list
     listed += judged.office.capacity;
     if (judged.verdict == Verdict::trusted) trusted += judged.office.capacity;
   }
@@ -67,7 +67,7 @@
   double listed = 0.0;
   double room = 0.0;
   for (const OfficeAssessment& judged : judged_) {
-    if (judged.verdict == Verdict::barred && judged.rank == Rank::told) continue;
+    if (judged.verdict == Verdict::barred && judged.rank == Rank::listed) continue;
     listed += judged.office.capacity;
     if (judged.verdict != Verdict::trusted) continue;
     room += judged.office.capacity * (bounded(judged) ? std::min(1.0, allowance(judged)) : 1.0);
--- a/src/fleet/recovery/telling.cpp
+++ b/src/fleet/recovery/telling.cpp
@@ -38,7 +38,7 @@
   text += std::string(" verdict=") + kVerdicts[static_cast<std::size_t>(verdict)];
   if (before) text += std::string(" was=") + kVerdicts[static_cast<std::size_t>(*before)];
   text += std::string(" rank=") + kRanks[static_cast<std::size_t>(j.rank)];
-  text += std::string(" seen=") + kSeen[static_cast<std::size_t>(j.seen)];
+  text += std::string(" seen=") + kSeen[static_cast<std::size_t>(j.state)];
   if (j.age)
     text +=
         " age_ms=" + std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(*j.age).count());
@@ -47,7 +47,7 @@
 }  // namespace
 
 Verdict Recovery::allowed(const OfficeAssessment& judged) const {
-  const bool eyes = judged.rank != Rank::told && judged.rank != Rank::kept;
+  const bool eyes = judged.rank != Rank::listed && judged.rank != Rank::stored;
   return stage_ == Stage::full && !recovering_ && eyes ? Verdict::trusted : judged.verdict;
 }
 
@@ -56,8 +56,8 @@
 }
 
 double Recovery::allowance(const OfficeAssessment& judged) const {
-  const double age = static_cast<double>(judged.warm_for.count()) /
-                     std::max(static_cast<double>(settings_.ramp.count()), 1.0);
+  const double age =
+      static_cast<double>(judged.uptime.count()) / std::max(static_cast<double>(settings_.ramp.count()), 1.0);
   const double warm = settings_.cold_from + (1.0 - settings_.cold_from) * std::clamp(age, 0.0, 1.0) * 0.5;
   return settings_.cold_part * settings_.fall_multiple * warm;
 }
--- a/src/fleet/recovery/values.cpp
+++ b/src/fleet/recovery/values.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kMostMilliseconds = 1ULL << 42U;  // 139 years
 constexpr std::uint64_t kMostThousandths = 1'000'000'000'000ULL;
-constexpr auto kLastSeen = static_cast<std::uint64_t>(Seen::absent);
+constexpr auto kLastSeen = static_cast<std::uint64_t>(OfficeState::absent);
 
 class Writer {
  public:
@@ -63,10 +63,10 @@
     next();
     return true;
   }
-  Seen seen() { return static_cast<Seen>(number(kLastSeen)); }
+  OfficeState seen() { return static_cast<OfficeState>(number(kLastSeen)); }
   std::optional<Observation> sight() {
     if (none()) return none() ? std::nullopt : (good_ = false, std::nullopt);
-    const Seen what = seen();
+    const OfficeState what = seen();
     return Observation{what, age()};
   }
   Office office(ServerId id) {
@@ -95,12 +95,12 @@
 
 void add(Writer& writer, const std::optional<Observation>& sight) {
   if (sight)
-    writer.add(static_cast<std::uint64_t>(sight->seen)).age(sight->age);
+    writer.add(static_cast<std::uint64_t>(sight->state)).age(sight->age);
   else
     writer.none().none();
 }
 
-void read_kept_list(const Record& record, bool other_fleet, Kept& kept) {
+void read_kept_list(const Record& record, bool other_fleet, PersistedState& kept) {
   Reader reader(record.value);
   const std::uint64_t epoch = reader.number(~std::uint64_t{0});
   const std::uint64_t number = reader.number(~std::uint64_t{0});
@@ -110,10 +110,10 @@
     Evidence e;
     e.office = reader.office(ServerId{});
     e.office.id = reader.id();
-    e.rank = Rank::kept;
-    e.seen = reader.seen();
+    e.rank = Rank::stored;
+    e.state = reader.seen();
     const std::optional<Duration> within = reader.none() ? std::nullopt : std::optional(reader.age());
-    if (!reader.none()) e.warm = reader.age();
+    if (!reader.none()) e.uptime = reader.age();
     if (within && age && *age >= Duration{} && !other_fleet) e.age = *age + *within;
     offices.push_back(e);
   }
@@ -139,9 +139,9 @@
 std::string write(const OfficeValue& v) {
   Writer writer;
   writer.office(v.office);
-  add(writer, v.eyes);
-  add(writer, v.told);
-  return (v.warm ? writer.age(*v.warm) : writer.none()).take();
+  add(writer, v.observed);
+  add(writer, v.listed);
+  return (v.uptime ? writer.age(*v.uptime) : writer.none()).take();
 }
 std::string write(const Rates& rates) {
   Writer writer;
@@ -153,13 +153,13 @@
   writer.add(list.epoch).add(list.number);
   for (const Evidence& e : offices) {
     writer.office(e.office).add(static_cast<std::uint64_t>(e.office.id));
-    writer.add(static_cast<std::uint64_t>(e.seen));
+    writer.add(static_cast<std::uint64_t>(e.state));
     if (e.age)
       writer.age(*e.age);
     else
       writer.none();
-    if (e.warm)
-      writer.age(*e.warm);
+    if (e.uptime)
+      writer.age(*e.uptime);
     else
       writer.none();
   }
@@ -192,9 +192,9 @@
   Reader reader(text);
   OfficeValue v;
   v.office = reader.office(id);
-  v.eyes = reader.sight();
-  v.told = reader.sight();
-  if (!reader.none()) v.warm = reader.age();
+  v.observed = reader.sight();
+  v.listed = reader.sight();
+  if (!reader.none()) v.uptime = reader.age();
   return reader.done() ? std::optional(v) : std::nullopt;
 }
 std::optional<Rates> read_rates(std::string_view text) {
@@ -207,8 +207,8 @@
   return reader.done() ? std::optional(rates) : std::nullopt;
 }
 
-std::optional<Kept> read_stored_state(std::span<const Record> records, bool other_fleet) {
-  Kept kept;
+std::optional<PersistedState> read_stored_state(std::span<const Record> records, bool other_fleet) {
+  PersistedState kept;
   kept.other_fleet = other_fleet;
   bool any = false;
   for (const Record& record : records) {
--- a/src/fleet/recovery/values.h
+++ b/src/fleet/recovery/values.h
@@ -51,13 +51,13 @@
   bool operator==(const ListValue&) const = default;
 };
 struct Observation {
-  Seen seen{};
+  OfficeState state{};
   Duration age{};
 };
 struct OfficeValue {
   Office office;
-  std::optional<Observation> eyes, told;
-  std::optional<Duration> warm;  // it had run for so long at least
+  std::optional<Observation> observed, listed;
+  std::optional<Duration> uptime;  // it had run for so long at least
 };
 using Rates = std::map<ServerId, double>;
 
@@ -82,6 +82,6 @@
   // remembered, and proves nothing to be fresh.
   std::optional<Duration> wall_clock_age = std::nullopt;
 };
-std::optional<Kept> read_stored_state(std::span<const Record> records, bool other_fleet);
+std::optional<PersistedState> read_stored_state(std::span<const Record> records, bool other_fleet);
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -23,7 +23,7 @@
   for (const Ended& e : known.ended) last = std::max(last, e.as_of);
   // What the store was told after the last sight by anybody else: that sight is of the life before.
   const auto named = [&](const Line& l) {
-    return better(l) || (l.evidence.rank == Rank::kept && of(l.as_of) > last);
+    return better(l) || (l.evidence.rank == Rank::stored && of(l.as_of) > last);
   };
   const bool any = !known.ended.empty() || std::any_of(known.lines.begin(), known.lines.end(), better);
   using Order = std::tuple<std::uint64_t, int, ListId, Time, Office>;
@@ -37,48 +37,50 @@
 }
 
 Offices::Decided Offices::decide(const Known& known) const {
-  Decided decided{.office = life(known), .verdict = Verdict::trial, .rank = Rank::kept, .seen = Seen::silent};
+  Decided decided{
+      .office = life(known), .verdict = Verdict::trial, .rank = Rank::stored, .state = OfficeState::silent};
   for (const Line& l : known.lines)
-    if (l.evidence.rank == Rank::kept) decided.kept = std::max(decided.kept, of(l.as_of));
-  const auto decide = [&](Verdict verdict, Rank rank, Seen seen, const char* reason,
+    if (l.evidence.rank == Rank::stored) decided.kept = std::max(decided.kept, of(l.as_of));
+  const auto decide = [&](Verdict verdict, Rank rank, OfficeState seen, const char* reason,
                           const Line* by = nullptr) {
     if (by != nullptr) decided.as_of = by->as_of;
-    if (by != nullptr && rank != Rank::kept) decided.source = by->evidence.source;
+    if (by != nullptr && rank != Rank::stored) decided.source = by->evidence.source;
     decided.verdict = verdict;
     decided.rank = rank;
-    decided.seen = seen;
+    decided.state = seen;
     decided.reason = reason;
     return decided;
   };
   const Office office = decided.office;
   for (const Ended& e : known.ended)
     if (e.office.start == office.start && e.office.at == office.at)
-      return decide(Verdict::barred, Rank::told, e.seen, "a list calls it ended");
+      return decide(Verdict::barred, Rank::listed, e.state, "a list calls it ended");
   const Line* told = nullptr;
   const Line* kept = nullptr;
   std::vector<const Line*> ups;
   std::vector<const Line*> downs;
   const auto younger = [&](const Line* a, const Line* b) {
-    return b == nullptr || std::tuple(of(a->as_of), worse(a->evidence.seen), a->evidence.source) >
-                               std::tuple(of(b->as_of), worse(b->evidence.seen), b->evidence.source);
+    return b == nullptr || std::tuple(of(a->as_of), worse(a->evidence.state), a->evidence.source) >
+                               std::tuple(of(b->as_of), worse(b->evidence.state), b->evidence.source);
   };
   for (const Line& l : known.lines) {
     const Evidence& e = l.evidence;
     if (e.office.start != office.start || e.office.at != office.at) continue;
     if (const Part part = part_of(e); part == Part::eyes) {
-      (up(e.seen) ? ups : downs).push_back(&l);
+      (up(e.state) ? ups : downs).push_back(&l);
     } else if (part == Part::store) {
       if (younger(&l, kept)) kept = &l;
-    } else if (!over(e.seen) &&
-               (told == nullptr || std::tuple(e.list, worse(e.seen)) >
-                                       std::tuple(told->evidence.list, worse(told->evidence.seen)))) {
+    } else if (!over(e.state) &&
+               (told == nullptr || std::tuple(e.list, worse(e.state)) >
+                                       std::tuple(told->evidence.list, worse(told->evidence.state)))) {
       told = &l;
     }
   }
   if (told != nullptr)
-    return told->evidence.seen == Seen::ready
-               ? decide(Verdict::trusted, Rank::told, Seen::ready, "a live list names it", told)
-               : decide(Verdict::barred, Rank::told, Seen::absent, "the list does not name it", told);
+    return told->evidence.state == OfficeState::ready
+               ? decide(Verdict::trusted, Rank::listed, OfficeState::ready, "a live list names it", told)
+               : decide(Verdict::barred, Rank::listed, OfficeState::absent, "the list does not name it",
+                        told);
   const auto stands = [&](const Line* answer) {
     return std::all_of(downs.begin(), downs.end(), [&](const Line* down) {
       const bool ranked = answer->evidence.rank <= down->evidence.rank;
@@ -95,30 +97,31 @@
   for (const Line* l : ups)
     if (stands(l) && strong(l, answer)) answer = l;
   if (answer != nullptr)
-    return decide(Verdict::trusted, answer->evidence.rank, answer->evidence.seen, "seen up", answer);
+    return decide(Verdict::trusted, answer->evidence.rank, answer->evidence.state, "seen up", answer);
   const Line* down = nullptr;
   for (const Line* l : downs)
     if (younger(l, down)) down = l;
   if (down != nullptr)
-    return decide(Verdict::trial, down->evidence.rank, down->evidence.seen, "it refused or was silent", down);
+    return decide(Verdict::trial, down->evidence.rank, down->evidence.state, "it refused or was silent",
+                  down);
   if (kept == nullptr)
-    return decide(Verdict::trial, Rank::kept, Seen::silent, "of this life nothing is known");
-  const Seen seen = kept->evidence.seen;
-  if (!up(seen) && seen != Seen::refused && seen != Seen::silent)
-    return decide(Verdict::barred, Rank::kept, seen, "kept as ended", kept);
+    return decide(Verdict::trial, Rank::stored, OfficeState::silent, "of this life nothing is known");
+  const OfficeState seen = kept->evidence.state;
+  if (!up(seen) && seen != OfficeState::refused && seen != OfficeState::silent)
+    return decide(Verdict::barred, Rank::stored, seen, "kept as ended", kept);
   decided.ages = true;
-  return decide(Verdict::trial, Rank::kept, seen, "kept too long ago, or as down", kept);
+  return decide(Verdict::trial, Rank::stored, seen, "kept too long ago, or as down", kept);
 }
 
 OfficeAssessment Offices::judge(Time now, const Known& known) const {
   if (!known.decided) known.decided = decide(known);
   const Decided& d = *known.decided;
-  OfficeAssessment judged{.office = d.office, .verdict = d.verdict, .rank = d.rank, .seen = d.seen};
+  OfficeAssessment judged{.office = d.office, .verdict = d.verdict, .rank = d.rank, .state = d.state};
   judged.reason = d.reason;
   judged.source = d.source;
   if (d.as_of) judged.age = now - *d.as_of;
   if (d.ages) {
-    judged.trust = up(d.seen) ? std::min(trust(judged.age, settings_.half_life_state), 1.0) : 0.0;
+    judged.trust = up(d.state) ? std::min(trust(judged.age, settings_.half_life_state), 1.0) : 0.0;
     const bool listed = trust(judged.age, settings_.half_life_list) >= settings_.trust_threshold;
     if (listed && judged.trust >= settings_.trust_threshold) {
       judged.verdict = Verdict::trusted;
@@ -132,16 +135,16 @@
 void Offices::warmth(Time now, const Known& known, Time kept, OfficeAssessment& judged) const {
   const bool named = judged.office.start == known.first_start && known.first;
   if (named)
-    judged.warm_for = std::max(now - std::min(*known.first, known.born.value_or(*known.first)), Duration{});
+    judged.uptime = std::max(now - std::min(*known.first, known.born.value_or(*known.first)), Duration{});
   if (settings_.ramp <= Duration{}) return;
-  if (judged.rank == Rank::kept) {
+  if (judged.rank == Rank::stored) {
     const auto age = kept == Time::min() ? std::nullopt : std::optional(now - kept);
     judged.cold = trust(age, settings_.half_life_warm) < settings_.trust_threshold;
-    if (judged.cold) judged.warm_for = {};
+    if (judged.cold) judged.uptime = {};
     if (judged.cold || !named) return;
   }
   const bool began = known.born || known.oldest_start < judged.office.start;
-  judged.cold = began && judged.warm_for < settings_.ramp;
+  judged.cold = began && judged.uptime < settings_.ramp;
 }
 
 OfficeAssessment Offices::judge(Time now, ServerId office) const {
@@ -149,7 +152,7 @@
   if (at != known_.end()) return judge(now, at->second);
   OfficeAssessment none;
   none.office.id = office;
-  none.rank = Rank::kept;
+  none.rank = Rank::stored;
   none.reason = "never heard of";
   return none;
 }
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -32,7 +32,7 @@
   Keeping(const config::Controllers& settings, const std::string& owner, Say say);
 
   [[nodiscard]] Incarnation incarnation() const { return incarnation_; }  // of this start; kept already
-  [[nodiscard]] const std::optional<recovery::Kept>& kept() const { return kept_; }
+  [[nodiscard]] const std::optional<recovery::PersistedState>& kept() const { return kept_; }
   [[nodiscard]] const std::vector<members::Update>& remembered() const { return members_; }
   // Of this controller's own disk; a copied one has another's vote.
   [[nodiscard]] const drift::Restored& rules() const { return rules_; }
@@ -65,7 +65,7 @@
   const std::string owner_;
   const Say say_;
   Incarnation incarnation_ = 1;
-  std::optional<recovery::Kept> kept_;
+  std::optional<recovery::PersistedState> kept_;
   std::vector<members::Update> members_;
   drift::Restored rules_;
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -106,11 +106,12 @@
     heard.restarts = restarts_;
     for (const core::OfficeEntry& o : offices) {
       const recovery::Office office = office_of(o);
-      const recovery::Seen seen = o.entry.state == ServerState::ready      ? recovery::Seen::ready
-                                  : o.entry.state == ServerState::draining ? recovery::Seen::draining
-                                                                           : recovery::Seen::gone;
+      const recovery::OfficeState seen = o.entry.state == ServerState::ready ? recovery::OfficeState::ready
+                                         : o.entry.state == ServerState::draining
+                                             ? recovery::OfficeState::draining
+                                             : recovery::OfficeState::gone;
       // What the configuration held is no live source's word: it counts as kept, of unknown age.
-      heard.offices.push_back({office, live ? recovery::Rank::told : recovery::Rank::kept, seen, self_,
+      heard.offices.push_back({office, live ? recovery::Rank::listed : recovery::Rank::stored, seen, self_,
                                live ? std::optional<Duration>(Duration{}) : std::nullopt});
     }
     link_.from_core(std::move(heard));
--- a/src/fleet/sums/sums.cpp
+++ b/src/fleet/sums/sums.cpp
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 constexpr Duration kGoodAgain = 500ms;  // an answer says little new so soon after one
 constexpr Duration kCarried = 1s;       // the least span over which what an office carries is counted
-recovery::Seen seen_of(Shown shown) {
-  if (shown == Shown::refuses) return recovery::Seen::refused;
-  return shown == Shown::silence ? recovery::Seen::silent : recovery::Seen::answered;
+recovery::OfficeState seen_of(Shown shown) {
+  if (shown == Shown::refuses) return recovery::OfficeState::refused;
+  return shown == Shown::silence ? recovery::OfficeState::silent : recovery::OfficeState::answered;
 }
 bool there(Shown shown) { return shown == Shown::answers; }
 }  // namespace
@@ -63,10 +63,10 @@
   }
   recovery::OfficeLoad pressure;
   pressure.office = totals.office;
-  pressure.stood = totals.stood - line.told.stood;
+  pressure.established = totals.stood - line.told.stood;
   pressure.refused = totals.refused - line.told.refused;
   pressure.failed = totals.failed - line.told.failed;
-  if ((pressure.stood | pressure.refused | pressure.failed) != 0) out.emplace_back(pressure);
+  if ((pressure.established | pressure.refused | pressure.failed) != 0) out.emplace_back(pressure);
   line.told = totals;
   if (line.carried_from == Time::min()) {
     line.carried_from = now;
--- a/src/fleet/turn/talks.cpp
+++ b/src/fleet/turn/talks.cpp
@@ -66,7 +66,7 @@
   count(talk, e);
   switch (e.step) {
     case 0:
-      decide(now, recovery::Asked{talk.with, e.envelope.incarnation}, actions);
+      decide(now, recovery::ExchangeStarted{talk.with, e.envelope.incarnation}, actions);
       say(said.id, talk, {envelope(), 1, {}, facts_.digest(e.summary), {}}, actions);
       break;
     case 1: {
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/turn/turn.cpp
@@ -45,8 +45,8 @@
       pace_(settings.pace, seed),
       drift_(settings.drift, self.id) {}
 
-void Turn::begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> remembered,
-                 CoordinatorActions& actions) {
+void Turn::begin(Time now, std::optional<recovery::PersistedState> kept,
+                 std::span<const members::Update> remembered, CoordinatorActions& actions) {
   begun_ = true;
   decide(now, recovery::Restored{std::move(kept)}, actions);
   members_.remember(remembered);
@@ -195,7 +195,7 @@
       } else {
         wrote(now, publish->key);
       }
-    } else if (const auto* keep = std::get_if<recovery::Keep>(&action)) {
+    } else if (const auto* keep = std::get_if<recovery::Persist>(&action)) {
       actions.emplace_back(Store{keep->key, keep->value, std::nullopt});
     } else if (const auto* note = std::get_if<recovery::Note>(&action)) {
       actions.emplace_back(Log{"recovery", note->text});
--- a/src/fleet/turn/turn.h
+++ b/src/fleet/turn/turn.h
@@ -155,7 +155,7 @@
        std::uint64_t seed);
 
   // What the store held, or nothing; then the link is up (never called where the fleet cannot be asked).
-  void begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> members,
+  void begin(Time now, std::optional<recovery::PersistedState> kept, std::span<const members::Update> members,
              CoordinatorActions& actions);
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions);
   // What the core has seen, in its order; decided on once, where CoreEvent is decided on one by one.
--- a/tests/fleet/model_controllers.cpp
+++ b/tests/fleet/model_controllers.cpp
@@ -12,7 +12,7 @@
 constexpr ServerId kOver{1};
 
 MemberId name(std::size_t i) { return MemberId{1000 + i}; }
-bool over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
+bool over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
 bool usable(const Terms::Line& line) { return line.verdict == Verdict::trusted || line.ours; }
 }  // namespace
 
@@ -28,7 +28,7 @@
   for (const Action& action : actions) {
     if (const auto* terms = std::get_if<Terms>(&action)) {
       c.terms = *terms;
-    } else if (const auto* keep = std::get_if<Keep>(&action)) {
+    } else if (const auto* keep = std::get_if<Persist>(&action)) {
       c.store[keep->key] = {keep->value, now_};
     } else if (const auto* publish = std::get_if<Publish>(&action)) {
       if (publish->value)
@@ -48,11 +48,11 @@
   c.start_at = Time::max();
   std::vector<Record> records;
   for (const auto& [key, value] : c.store) records.push_back({key, value.first, now_ - value.second});
-  std::optional<Kept> kept = read_stored_state(records, false);
+  std::optional<PersistedState> kept = read_stored_state(records, false);
   c.kept_ready = false;
   c.alone = !kept || std::max(kept->agreed, kept->largest) <= 1;
   if (kept) {
-    for (const Evidence& e : kept->offices) c.kept_ready |= e.office.id == kOver && !over(e.seen);
+    for (const Evidence& e : kept->offices) c.kept_ready |= e.office.id == kOver && !over(e.state);
     std::size_t seen = 0;
     for (std::size_t j = 0; j < kControllers; ++j) seen += linked(i, j) ? 1 : 0;
     if (faults_.visible_size) kept->agreed = kept->largest = seen;
@@ -108,9 +108,9 @@
   const bool anew = list_ > 1;
   const Office cold{kCold, anew ? 2000U : 1000U, {9, 80}, 0, 1.0};
   const Office last{kOver, 1001, {9, 81}, 0, 1.0};
-  Evidence first{cold, Rank::told, Seen::ready, {}, Duration{}};
-  if (anew) first.warm = 1s;
-  heard.offices = {first, {last, Rank::told, anew ? over_ : Seen::ready, {}, Duration{}}};
+  Evidence first{cold, Rank::listed, OfficeState::ready, {}, Duration{}};
+  if (anew) first.uptime = 1s;
+  heard.offices = {first, {last, Rank::listed, anew ? over_ : OfficeState::ready, {}, Duration{}}};
   c.heard_over |= anew;
   give(i, heard);
 }
@@ -130,10 +130,10 @@
     }
     if (key.kind == facts::Kind::office && key.subject == 1 && !fact.deleted) {
       std::optional<OfficeValue> value = read_office(kOver, fact.value);
-      if (value && value->told && over(value->told->seen)) {
+      if (value && value->listed && over(value->listed->state)) {
         reader.heard_over = true;
         if (faults_.kept_over_word && reader.kept_ready) {
-          value->told->seen = Seen::ready;
+          value->listed->state = OfficeState::ready;
           fact.value = write(*value);
         }
       }
@@ -163,7 +163,8 @@
   for (const Terms::Line& line : terms.offices) {
     if (!usable(line)) continue;
     const bool up = line.office.id == kCold || list_ == 1;
-    give(i, OfficeObserved{{line.office, Rank::own, up ? Seen::answered : Seen::refused, {}, Duration{}}});
+    give(i, OfficeObserved{
+                {line.office, Rank::own, up ? OfficeState::answered : OfficeState::refused, {}, Duration{}}});
   }
 }
 
--- a/tests/fleet/model_world.cpp
+++ b/tests/fleet/model_world.cpp
@@ -41,7 +41,7 @@
   settle(beginning >= Beginning::growing ? 2 : kControllers);
   faults_ = faults;
   list_ = 2;
-  if (beginning == Beginning::quiet) over_ = Seen::draining;
+  if (beginning == Beginning::quiet) over_ = OfficeState::draining;
   for (std::size_t i = 0; i < kControllers; ++i) {
     Controller& c = controllers_[i];
     c.old = c.store;
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -103,7 +103,7 @@
   std::array<Controller, kControllers> controllers_;
   Time now_ = Time{} + std::chrono::hours(1);
   std::uint64_t list_ = 1;  // number of the newest list
-  Seen over_ = Seen::gone;
+  OfficeState over_ = OfficeState::gone;
   std::size_t apart_ = kControllers;  // cut off; none: whole
   bool was_cut_ = false;
   std::uint64_t taken_ = 0, refused_ = 0, answered_ = 0;
--- a/tests/fleet/news_test.cpp
+++ b/tests/fleet/news_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace reeltack::fleet;  // NOLINT
 using namespace std::chrono_literals;
-using recovery::Seen;
+using recovery::OfficeState;
 
 // Under sanitizers fewer pieces.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
@@ -24,11 +24,11 @@
 #endif
 
 MemberId member(std::size_t i) { return MemberId{i + 1}; }
-facts::Fact fact(MemberId owner, std::uint32_t office, std::uint64_t start, Seen told,
+facts::Fact fact(MemberId owner, std::uint32_t office, std::uint64_t start, OfficeState told,
                  facts::Version version = 1, Duration age = 0ns) {
   recovery::OfficeValue value;
   value.office = {ServerId{office}, start, {0x0a000001U + office, 80}, 0, 1.0};
-  value.told = recovery::Observation{told, {}};
+  value.listed = recovery::Observation{told, {}};
   return {owner, 1, version, {facts::Kind::office, office}, recovery::write(value), false, age};
 }
 
@@ -60,7 +60,7 @@
     const Time begun = net.now();
     reached.assign(size, false);
     reached[first] = true;
-    nodes[first].wrote(net.now(), fact(member(first), office, 1, Seen::gone));
+    nodes[first].wrote(net.now(), fact(member(first), office, 1, OfficeState::gone));
     push(first);
     net.run(
         net.now() + 2s,
@@ -130,24 +130,25 @@
     message.envelope.from = from;
     return node.heard(now, message, live).size();
   };
-  EXPECT_EQ(taken(fact(member(1), 1, 5, Seen::ready)), 0U) << "the first that is heard of it";
-  EXPECT_EQ(taken(fact(member(1), 1, 5, Seen::draining)), 1U);
-  EXPECT_EQ(taken(fact(member(2), 1, 5, Seen::gone)), 0U) << "barred before, by another's word";
-  EXPECT_EQ(taken(fact(member(2), 1, 5, Seen::ready)), 0U) << "nobody's word revives it";
-  EXPECT_EQ(taken(fact(member(1), 1, 4, Seen::gone)), 0U) << "an older life";
-  EXPECT_EQ(taken(fact(member(1), 1, 6, Seen::ready)), 1U) << "but a newer start";
-  EXPECT_EQ(taken(fact(member(1), 1, 6, Seen::gone)), 1U);
+  EXPECT_EQ(taken(fact(member(1), 1, 5, OfficeState::ready)), 0U) << "the first that is heard of it";
+  EXPECT_EQ(taken(fact(member(1), 1, 5, OfficeState::draining)), 1U);
+  EXPECT_EQ(taken(fact(member(2), 1, 5, OfficeState::gone)), 0U) << "barred before, by another's word";
+  EXPECT_EQ(taken(fact(member(2), 1, 5, OfficeState::ready)), 0U) << "nobody's word revives it";
+  EXPECT_EQ(taken(fact(member(1), 1, 4, OfficeState::gone)), 0U) << "an older life";
+  EXPECT_EQ(taken(fact(member(1), 1, 6, OfficeState::ready)), 1U) << "but a newer start";
+  EXPECT_EQ(taken(fact(member(1), 1, 6, OfficeState::gone)), 1U);
   EXPECT_EQ(node.counts().refused(), 0U);
-  EXPECT_EQ(taken(fact(member(1), 2, 5, Seen::gone, 1, 6s)), 0U);
-  EXPECT_EQ(taken(fact(member(1), 2, 5, Seen::gone), member(20)) + taken(fact(member(20), 2, 5, Seen::gone)),
+  EXPECT_EQ(taken(fact(member(1), 2, 5, OfficeState::gone, 1, 6s)), 0U);
+  EXPECT_EQ(taken(fact(member(1), 2, 5, OfficeState::gone), member(20)) +
+                taken(fact(member(20), 2, 5, OfficeState::gone)),
             0U);
-  EXPECT_EQ(taken(fact(member(0), 2, 5, Seen::gone)), 0U);
-  facts::Fact no_value = fact(member(1), 2, 5, Seen::gone);
+  EXPECT_EQ(taken(fact(member(0), 2, 5, OfficeState::gone)), 0U);
+  facts::Fact no_value = fact(member(1), 2, 5, OfficeState::gone);
   no_value.value += "x";
   EXPECT_EQ(taken(no_value), 0U);
   const news::Counts& c = node.counts();
   EXPECT_EQ(std::tuple(c.old, c.stranger, c.own, c.malformed), std::tuple(1U, 2U, 1U, 1U));
-  EXPECT_EQ(taken(fact(member(1), 2, 5, Seen::gone)), 1U) << "what was refused is not known";
+  EXPECT_EQ(taken(fact(member(1), 2, 5, OfficeState::gone)), 1U) << "what was refused is not known";
 }
 
 // Of an unknown start its owner can take back what it called over; but not by what it said before.
@@ -161,17 +162,17 @@
       for (int i = 0; i < 100; ++i) out += node.due(now += 10ms, others).size();
       return out;
     };
-    const facts::Fact over = fact(member(1), 1, 0, Seen::draining, 40);
+    const facts::Fact over = fact(member(1), 1, 0, OfficeState::draining, 40);
     news::Message message{{}, {over}};
     message.envelope.from = member(1);
     ASSERT_EQ(node.heard(now, message, [](MemberId) { return true; }).size(), 1U);
     if (ahead) node.told_ahead(over);
     EXPECT_GT(pushed(), 0U);
-    EXPECT_EQ(node.learnt(now, fact(member(1), 1, 0, Seen::ready, 38)), !ahead);
+    EXPECT_EQ(node.learnt(now, fact(member(1), 1, 0, OfficeState::ready, 38)), !ahead);
     EXPECT_TRUE(node.learnt(now, over));
     EXPECT_EQ(pushed() == 0, ahead);
-    EXPECT_TRUE(node.learnt(now, fact(member(1), 1, 0, Seen::ready, 41)));
-    EXPECT_TRUE(node.learnt(now, fact(member(1), 1, 0, Seen::draining, 42)));
+    EXPECT_TRUE(node.learnt(now, fact(member(1), 1, 0, OfficeState::ready, 41)));
+    EXPECT_TRUE(node.learnt(now, fact(member(1), 1, 0, OfficeState::draining, 42)));
     EXPECT_GT(pushed(), 0U) << "taken back by a newer word, and called over again";
   }
 }
@@ -187,7 +188,8 @@
     for (std::size_t i = 0; i < times; ++i) {
       news::Message message{{}, {}};
       message.envelope.from = from;
-      for (std::size_t f = 0; f < 16; ++f) message.facts.push_back(fact(from, office++, 1, Seen::gone));
+      for (std::size_t f = 0; f < 16; ++f)
+        message.facts.push_back(fact(from, office++, 1, OfficeState::gone));
       taken += node.heard(now, message, [](MemberId) { return true; }).size();
       for (const news::Push& p : node.due(now, others)) {
         ++messages;
--- a/tests/fleet/recovery_alone_test.cpp
+++ b/tests/fleet/recovery_alone_test.cpp
@@ -8,17 +8,18 @@
 namespace reeltack::fleet::recovery {
 namespace {
 
-Kept kept(Stage stage, std::size_t offices, Duration age, std::size_t agreed = 1) {
-  Kept kept;
+PersistedState kept(Stage stage, std::size_t offices, Duration age, std::size_t agreed = 1) {
+  PersistedState kept;
   kept.age = age;
   kept.stage = stage;
   kept.agreed = kept.largest = agreed;
   for (std::uint32_t i = 0; i < offices; ++i)
-    kept.offices.push_back({{ServerId{i}, 1000 + i, {9, 80}, 0, 1.0}, Rank::kept, Seen::answered, {}, age});
+    kept.offices.push_back(
+        {{ServerId{i}, 1000 + i, {9, 80}, 0, 1.0}, Rank::stored, OfficeState::answered, {}, age});
   return kept;
 }
 struct Alone {
-  explicit Alone(std::optional<Kept> kept, bool link) : fleet(1) {
+  explicit Alone(std::optional<PersistedState> kept, bool link) : fleet(1) {
     fleet.members[0].recovery = std::make_unique<Recovery>(fleet.settings, fleet.name(0));
     fleet.give(0, Restored{std::move(kept)});
     if (!link) return;
@@ -34,7 +35,7 @@
   Alone alone(std::nullopt, false);
   alone.fleet.tell_list(0);
   alone.fleet.give(
-      0, OfficeObserved{{alone.fleet.truth.at(ServerId{1}).first, Rank::own, Seen::refused, {}, 0s}});
+      0, OfficeObserved{{alone.fleet.truth.at(ServerId{1}).first, Rank::own, OfficeState::refused, {}, 0s}});
   alone.fleet.run(700ms);
   alone.fleet.run(20ms);
   EXPECT_EQ(alone.recovery().stage(), Stage::full);
@@ -67,7 +68,7 @@
   for (const bool link : {false, true}) {
     const Record by_wall[] = {{kStageRecord, write(full), std::nullopt, 1s},
                               {kListRecord, list, std::nullopt, 1s}};
-    const std::optional<Kept> unsure = read_stored_state(by_wall, false);
+    const std::optional<PersistedState> unsure = read_stored_state(by_wall, false);
     ASSERT_TRUE(unsure);
     EXPECT_FALSE(unsure->age);
     ASSERT_EQ(unsure->offices.size(), 4U);
@@ -76,7 +77,7 @@
     alone.fleet.run(720ms);
     EXPECT_TRUE(alone.recovery().recovering());
     const Record proven[] = {{kStageRecord, write(full), 1s, 20h}, {kListRecord, list, 2s, 20h}};
-    const std::optional<Kept> sure = read_stored_state(proven, false);
+    const std::optional<PersistedState> sure = read_stored_state(proven, false);
     ASSERT_TRUE(sure);
     EXPECT_EQ(sure->offices[0].age, 2s) << "the true age counts before the wall clock's";
     Alone restarted(sure, link);
@@ -95,13 +96,13 @@
     EXPECT_FALSE(alone.terms()->closed[1]);
     for (const Terms::Line& line : alone.terms()->offices) EXPECT_TRUE(line.ours);
     const Office office = alone.terms()->offices[0].office;
-    alone.fleet.give(0, OfficeObserved{{office, Rank::own, Seen::answered, {}, 0s}});
+    alone.fleet.give(0, OfficeObserved{{office, Rank::own, OfficeState::answered, {}, 0s}});
     EXPECT_EQ(alone.terms()->offices[0].verdict, Verdict::trusted);
   }
 }
 
 TEST(RecoveryAlone, AStoreOfAnotherFleetOrOfTheFutureIsAsTheOldest) {
-  Kept other = kept(Stage::full, 2, 1s);
+  PersistedState other = kept(Stage::full, 2, 1s);
   other.other_fleet = true;
   Alone stranger(other, true);
   stranger.fleet.run(900ms, false);
@@ -198,8 +199,10 @@
   Alone alone(kept(Stage::full, 4, 1s), true);
   alone.fleet.run(1s);
   std::mt19937_64 random(7);
-  const std::string office = write(OfficeValue{
-      {ServerId{1}, 5, {9, 80}, 2, 1.5}, Observation{Seen::refused, 1s}, Observation{Seen::ready, 0s}, 3s});
+  const std::string office = write(OfficeValue{{ServerId{1}, 5, {9, 80}, 2, 1.5},
+                                               Observation{OfficeState::refused, 1s},
+                                               Observation{OfficeState::ready, 0s},
+                                               3s});
   const std::vector<std::string> good{write(StageValue{}), write(ListValue{true, {1, 2, 3}}), office,
                                       write(Rates{{ServerId{1}, 2.0}})};
   for (std::size_t g = 0; g < good.size(); ++g) {
--- a/tests/fleet/recovery_fleet.h
+++ b/tests/fleet/recovery_fleet.h
@@ -99,7 +99,8 @@
   ListReceived list(std::uint64_t number = 1) const {
     ListReceived heard{number, true, {}};
     for (const auto& [id, office] : truth)
-      if (office.second) heard.offices.push_back({office.first, Rank::told, Seen::ready, {}, Duration{}});
+      if (office.second)
+        heard.offices.push_back({office.first, Rank::listed, OfficeState::ready, {}, Duration{}});
     return heard;
   }
   void tell_list(std::size_t i, std::uint64_t number = 1) { give(i, list(number)); }
@@ -110,7 +111,7 @@
     for (const Terms::Line& line : terms.offices) {
       if (line.verdict != Verdict::trusted && !line.ours) continue;
       const auto& at = truth.at(line.office.id);
-      const Seen seen = at.second ? Seen::answered : Seen::refused;
+      const OfficeState seen = at.second ? OfficeState::answered : OfficeState::refused;
       give(i, OfficeObserved{{line.office, Rank::own, seen, {}, Duration{}}});
     }
   }
@@ -185,7 +186,7 @@
                   (had.verdict != line.verdict || had.office.at != line.office.at))
                 ++m.changes[line.office.id];
         m.terms = *terms;
-      } else if (const auto* keep = std::get_if<Keep>(&action)) {
+      } else if (const auto* keep = std::get_if<Persist>(&action)) {
         m.store[keep->key] = {keep->value, now};
       } else if (const auto* publish = std::get_if<Publish>(&action)) {
         m.facts[publish->key] = {*publish->value, now};
--- a/tests/fleet/recovery_fleet_test.cpp
+++ b/tests/fleet/recovery_fleet_test.cpp
@@ -177,7 +177,7 @@
   TestFleet fleet(12);
   fleet.settle();
   Office gone = fleet.truth.at(ServerId{4}).first;
-  fleet.give(7, ListReceived{2, false, {{gone, Rank::told, Seen::gone, {}, Duration{}}}});
+  fleet.give(7, ListReceived{2, false, {{gone, Rank::listed, OfficeState::gone, {}, Duration{}}}});
   fleet.run(250ms);
   for (std::size_t i = 0; i < 12; ++i) {
     EXPECT_EQ(fleet.members[i].terms->offices[4].verdict, Verdict::barred) << i;
--- a/tests/fleet/recovery_kept_test.cpp
+++ b/tests/fleet/recovery_kept_test.cpp
@@ -12,7 +12,7 @@
   std::vector<Record> records;
   for (const auto& [key, value] : fleet.members[0].store)
     records.push_back({key, value.first, fleet.now - value.second});
-  const std::optional<Kept> kept = read_stored_state(records, false);
+  const std::optional<PersistedState> kept = read_stored_state(records, false);
   ASSERT_TRUE(kept);
   EXPECT_EQ(kept->stage, Stage::full);
   EXPECT_EQ(kept->agreed, 3U);
@@ -31,7 +31,8 @@
   Recovery copy = *fleet.members[0].recovery;
   EXPECT_EQ(copy.fingerprint(fleet.now), fleet.members[0].recovery->fingerprint(fleet.now));
   Actions actions;
-  copy.on(fleet.now, OfficeObserved{{fleet.truth.at(ServerId{0}).first, Rank::own, Seen::refused, {}, 0s}},
+  copy.on(fleet.now,
+          OfficeObserved{{fleet.truth.at(ServerId{0}).first, Rank::own, OfficeState::refused, {}, 0s}},
           actions);
   EXPECT_NE(copy.fingerprint(fleet.now), fleet.members[0].recovery->fingerprint(fleet.now));
 }
--- a/tests/fleet/recovery_lists_test.cpp
+++ b/tests/fleet/recovery_lists_test.cpp
@@ -26,7 +26,7 @@
     ListReceived& one = sides[swapped ? 1 : 0];
     ListReceived& other = sides[swapped ? 0 : 1];
     one = other = fleet.list(2);
-    one.offices[7].seen = Seen::draining;  // neither names the last; each leaves out one
+    one.offices[7].state = OfficeState::draining;  // neither names the last; each leaves out one
     one.offices.pop_back();
     one.offices.erase(one.offices.begin() + 6);
     other.offices.pop_back();
@@ -92,7 +92,7 @@
       if (key.kind != facts::Kind::office) continue;
       const auto value = read_office(ServerId{static_cast<std::uint32_t>(key.subject)}, fact.first);
       ASSERT_TRUE(value);
-      if (!value->told || value->told->seen != Seen::ready) continue;
+      if (!value->listed || value->listed->state != OfficeState::ready) continue;
       const auto& named = apart.sides[i / 3].offices;
       EXPECT_TRUE(std::any_of(named.begin(), named.end(),
                               [&](const Evidence& e) {
--- a/tests/fleet/recovery_starts_test.cpp
+++ b/tests/fleet/recovery_starts_test.cpp
@@ -57,7 +57,8 @@
       fleet.start(i);
       ListReceived configured = fleet.list();
       configured.live = false;
-      configured.offices.push_back({fleet.truth.at(ServerId{3}).first, Rank::told, Seen::ready, {}, {}});
+      configured.offices.push_back(
+          {fleet.truth.at(ServerId{3}).first, Rank::listed, OfficeState::ready, {}, {}});
       fleet.give(i, configured);
     }
     fleet.run(260ms, false);
@@ -122,12 +123,12 @@
   const facts::Key stage{facts::Kind::stage, 0};
   const auto said = [&] { return fleet.now - fleet.members[0].facts.at(stage).second; };
   while (said() < 600ms) fleet.run(100ms);
-  fleet.give(0, Asked{TestFleet::name(4), fleet.members[4].incarnation});
+  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation});
   EXPECT_GE(said(), 600ms) << "this life has spoken";
-  fleet.give(0, Asked{TestFleet::name(4), fleet.members[4].incarnation + 1});
+  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 1});
   EXPECT_EQ(said(), 0ms);
   fleet.run(200ms);
-  fleet.give(0, Asked{TestFleet::name(4), fleet.members[4].incarnation + 2});
+  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 2});
   EXPECT_EQ(said(), 200ms) << "no more often than it counts as fresh";
 }
 
--- a/tests/fleet/recovery_words_test.cpp
+++ b/tests/fleet/recovery_words_test.cpp
@@ -41,7 +41,7 @@
     const auto office = [&](std::size_t of, std::uint64_t start) {
       OfficeValue value;
       value.office = {ServerId{3}, start, {9, 80}, 0, 1.0};
-      value.eyes = Observation{Seen::answered, {}};
+      value.observed = Observation{OfficeState::answered, {}};
       say(of, {facts::Kind::office, 3}, write(value));
     };
     const StageValue returned{.stage = Stage::probation, .recovering = true, .up = 1s, .agreed = 3};
--- a/tests/fleet/return_world.cpp
+++ b/tests/fleet/return_world.cpp
@@ -105,7 +105,7 @@
 
 ServerEntry ReturnWorld::entry(const World::Office& office) const {
   ServerEntry out = with_start_time(entry_of(office.is, ServerState::ready).entry);
-  if (office.listed == recovery::Seen::gone) out.state = ServerState::gone;
+  if (office.listed == recovery::OfficeState::gone) out.state = ServerState::gone;
   return out;
 }
 
@@ -133,7 +133,7 @@
     configured.complete = true;
     configured.live = false;
     for (std::size_t k = 0; k < case_.configured; ++k)
-      configured.offices.push_back({first_[k], recovery::Rank::kept, recovery::Seen::ready, {}, {}});
+      configured.offices.push_back({first_[k], recovery::Rank::stored, recovery::OfficeState::ready, {}, {}});
     world_.hear(node, configured);
     return;
   }
@@ -177,20 +177,20 @@
   sites_[k].processor = std::make_unique<standin::Processor>(processor_settings(case_), world_.now());
   for (auto& [key, attempt] : attempts_)
     if (attempt.site == k) attempt.phase = Phase::over;
-  world_.list(k, recovery::Seen::ready);
+  world_.list(k, recovery::OfficeState::ready);
   tell_truth();
 }
 
 void ReturnWorld::put_another(std::size_t k) {
   World::Office other = world_.offices[k];
   world_.offices[k].up = false;
-  world_.list(k, recovery::Seen::gone);
+  world_.list(k, recovery::OfficeState::gone);
   other.is.id = ServerId{static_cast<std::uint32_t>(world_.offices.size())};
   other.is.start = static_cast<std::uint64_t>((world_.now() - Time{}) / 1ms);
   other.born = world_.now();
   world_.offices.push_back(other);
   sites_.push_back({std::make_unique<standin::Processor>(processor_settings(case_), world_.now())});
-  world_.list(world_.offices.size() - 1, recovery::Seen::ready);
+  world_.list(world_.offices.size() - 1, recovery::OfficeState::ready);
 }
 
 Worth ReturnWorld::play() {
@@ -206,7 +206,7 @@
   for (std::size_t i = case_.survivors; i < gateways_.size(); ++i) kill(i);
   for (const std::size_t k : case_.gone) {
     world_.offices[k].up = false;
-    world_.list(k, recovery::Seen::gone);
+    world_.list(k, recovery::OfficeState::gone);
   }
   for (const std::size_t k : case_.silent) sites_[k].silent = true;
   world_.run(case_.dark * 9 / 10);
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using recovery::Seen;
+using recovery::OfficeState;
 using OfficeObservation = core::OfficeObserver::OfficeObservation;
 
 recovery::Office office(std::uint32_t id, std::uint64_t start = 1000) {
@@ -24,7 +24,7 @@
 struct Reader {  // the link's side
   Sightings sightings{MemberId{7}};
   std::map<ServerId, recovery::OfficeLoad> sum;
-  std::map<ServerId, std::vector<Seen>> seen;
+  std::map<ServerId, std::vector<OfficeState>> seen;
   std::map<ServerId, double> carried;
   std::size_t times = 0, events = 0;
   std::vector<recovery::Event> told;
@@ -35,22 +35,22 @@
     events += told.size();
     for (const recovery::Event& event : told) {
       if (const auto* p = std::get_if<recovery::OfficeLoad>(&event)) {
-        sum[p->office].stood += p->stood;
+        sum[p->office].established += p->established;
         sum[p->office].refused += p->refused;
         sum[p->office].failed += p->failed;
       } else if (const auto* s = std::get_if<recovery::OfficeObserved>(&event)) {
-        seen[s->evidence.office.id].push_back(s->evidence.seen);
+        seen[s->evidence.office.id].push_back(s->evidence.state);
       } else if (const auto* c = std::get_if<recovery::CarriedRate>(&event)) {
-        carried[c->office] = c->a_second;
+        carried[c->office] = c->per_second;
       }
     }
   }
 };
 struct Counted {
-  std::uint32_t stood = 0, refused = 0, failed = 0;
+  std::uint32_t established = 0, refused = 0, failed = 0;
   auto operator<=>(const Counted&) const = default;
 };
-Counted counted(const recovery::OfficeLoad& p) { return {p.stood, p.refused, p.failed}; }
+Counted counted(const recovery::OfficeLoad& p) { return {p.established, p.refused, p.failed}; }
 
 // Against plain counting, at random paces: after each outcome the reader comes when next() says so, never
 // before, and by then everything is told.
@@ -88,7 +88,7 @@
       const ServerId id{static_cast<std::uint32_t>(1 + below(4))};
       const OfficeObservation what =
           below(bad) != 0 ? OfficeObservation::answered : static_cast<OfficeObservation>(1 + below(4));
-      plain[id].stood += what == OfficeObservation::answered;
+      plain[id].established += what == OfficeObservation::answered;
       plain[id].refused += what == OfficeObservation::refused;
       plain[id].failed += what == OfficeObservation::broke || what == OfficeObservation::silent;
       untold.emplace(id, now);
@@ -111,7 +111,7 @@
       if (!at_once) continue;
       reader.collect(now);
       untold.clear();
-      ASSERT_EQ(reader.seen[id].back() == Seen::answered, up) << seed;
+      ASSERT_EQ(reader.seen[id].back() == OfficeState::answered, up) << seed;
     }
   }
 }
@@ -148,7 +148,7 @@
   (void)reader.sightings.saw(now + 3ms, ServerId{1}, OfficeObservation::silent);
   reader.collect(now + 3ms);
   EXPECT_EQ(counted(reader.sum[ServerId{1}]), (Counted{0, 0, 1}));
-  EXPECT_EQ(reader.seen[ServerId{1}], std::vector{Seen::silent});
+  EXPECT_EQ(reader.seen[ServerId{1}], std::vector{OfficeState::silent});
 }
 
 // Two threads, as in service; more offices than there are places.
--- a/tests/fleet/sim_news_test.cpp
+++ b/tests/fleet/sim_news_test.cpp
@@ -9,7 +9,7 @@
 namespace reeltack::test {
 namespace {
 
-using recovery::Seen;
+using recovery::OfficeState;
 
 // How long after the only source each other one bars the office, in ms; several offices one after the other.
 std::vector<double> stops(std::size_t size, std::uint64_t seed, double loss) {
@@ -40,7 +40,7 @@
   constexpr std::size_t kPieces = 4;
   for (std::size_t office = 0; office < kPieces; ++office) {
     const Time told = w.now();
-    w.list(office, office % 2 == 0 ? Seen::gone : Seen::draining);
+    w.list(office, office % 2 == 0 ? OfficeState::gone : OfficeState::draining);
     std::vector<bool> stopped(size, false);
     for (std::size_t left = size; left > 0 && w.now() < told + 5s; w.run(1ms)) {
       left = 0;
@@ -96,7 +96,7 @@
     }
     w.run(60s);
     for (const World::Node& n : w.nodes) EXPECT_LT(n.turn->members().alive(), 12U) << "dead to each other";
-    w.list(2, Seen::draining);
+    w.list(2, OfficeState::draining);
     const auto barred = [&] {
       for (std::size_t i = 0; i < 12; ++i)
         if (w.usable(i)[2]) return false;
@@ -121,7 +121,7 @@
     for (std::size_t i = 0; i < 12; ++i) w.reach(i, i == seed);
     w.run(20s);
     for (std::size_t office = 0; office < 4; ++office) {
-      w.list(office, office % 2 == 0 ? Seen::gone : Seen::draining);
+      w.list(office, office % 2 == 0 ? OfficeState::gone : OfficeState::draining);
       const Duration took = w.until([&] { return w.agreed() && !w.usable(0)[office]; }, 60s);
       EXPECT_LE(took, 5s) << "seed " << seed << " office " << office;
       most = std::max(most, std::chrono::duration<double>(took).count());
--- a/tests/fleet/sim_random_test.cpp
+++ b/tests/fleet/sim_random_test.cpp
@@ -9,7 +9,7 @@
 namespace reeltack::test {
 namespace {
 
-using recovery::Seen;
+using recovery::OfficeState;
 
 void fault(World& w, std::map<std::size_t, std::map<std::string, World::Record>>& copies) {
   const std::size_t size = w.nodes.size();
@@ -41,7 +41,7 @@
     case 6:  // for good; a quarter of the offices at most
       if (k % 4 != 0) break;
       w.offices[k].up = false;
-      w.list(k, w.below(2) == 0 ? Seen::gone : Seen::draining);
+      w.list(k, w.below(2) == 0 ? OfficeState::gone : OfficeState::draining);
       break;
     case 7:
       w.replace(k);
@@ -61,7 +61,7 @@
   w.set_loss(0.1 * static_cast<double>(seed % 3));
   w.run(1s);
   for (std::size_t k = 0; k < w.offices.size(); ++k)
-    if (w.offices[k].listed == Seen::ready) return w.list(k, Seen::gone), w.run(2s);
+    if (w.offices[k].listed == OfficeState::ready) return w.list(k, OfficeState::gone), w.run(2s);
 }
 
 TEST(FleetSim, RandomFaultsBreakNoRule) {
--- a/tests/fleet/sim_runs.cpp
+++ b/tests/fleet/sim_runs.cpp
@@ -20,7 +20,7 @@
   Outcome out;
   out.whole_before = w.all(Stage::full);
   w.offices[2].up = false;
-  w.list(2, recovery::Seen::gone);
+  w.list(2, recovery::OfficeState::gone);
   w.replace(1);
   w.run(4s);
   w.reach_all(false);
--- a/tests/fleet/turn_world.h
+++ b/tests/fleet/turn_world.h
@@ -47,7 +47,7 @@
  public:
   struct Office {
     recovery::Office is;
-    recovery::Seen listed = recovery::Seen::ready;
+    recovery::OfficeState listed = recovery::OfficeState::ready;
     bool up = true;
     Time born = Time::min(), told = Time::min();  // told: since when `listed` is the bulletin's word
     std::vector<bool> watched{};  // who was there, in a fleet that was whole, as it was first told as over
@@ -88,9 +88,9 @@
   void set_loss(double loss) { settings_.loss = loss; }
   void reach(std::size_t node, bool bulletin);
   void reach_all(bool bulletin);
-  void list(std::size_t office, recovery::Seen seen);  // told by the bulletin to whom it reaches
-  void restart_bulletin();                             // its numbers begin anew
-  void replace(std::size_t office);                    // a new start, cold, at another address
+  void list(std::size_t office, recovery::OfficeState seen);  // told by the bulletin to whom it reaches
+  void restart_bulletin();                                    // its numbers begin anew
+  void replace(std::size_t office);                           // a new start, cold, at another address
   void saw(std::size_t node, ServerId office,
            core::OfficeObserver::OfficeObservation what) {  // as its core does
     if (nodes[node].sightings->saw(now_, office, what)) wake(node);
--- a/tests/fleet/turn_world_calls.cpp
+++ b/tests/fleet/turn_world_calls.cpp
@@ -7,7 +7,7 @@
 namespace reeltack::test {
 
 using OfficeObservation = core::OfficeObserver::OfficeObservation;
-using recovery::Seen;
+using recovery::OfficeState;
 using recovery::Verdict;
 
 void World::tell_list(std::size_t i) {
@@ -16,7 +16,7 @@
   heard.restarts = nodes[i].restarts;
   const MemberId self = nodes[i].turn->members().self().id;
   for (const Office& office : offices) {
-    heard.offices.push_back({office.is, recovery::Rank::told, office.listed, self, Duration{}});
+    heard.offices.push_back({office.is, recovery::Rank::listed, office.listed, self, Duration{}});
     nodes[i].sightings->name(office.is);
   }
   nodes[i].told_gone = std::min(nodes[i].told_gone, now_);
@@ -42,13 +42,13 @@
   for (std::size_t i = 0; i < nodes.size(); ++i) reach(i, bulletin);
 }
 
-void World::list(std::size_t office, Seen seen) {
+void World::list(std::size_t office, OfficeState seen) {
   ++list_number_;
   Office& o = offices[office];
   const bool heard =
       std::any_of(nodes.begin(), nodes.end(), [](const Node& n) { return n.turn && n.bulletin; });
   o.watched.clear();
-  if (heard && o.listed == Seen::ready && seen != Seen::ready && whole())
+  if (heard && o.listed == OfficeState::ready && seen != OfficeState::ready && whole())
     for (const Node& n : nodes) o.watched.push_back(n.turn != nullptr);
   o.listed = seen;
   o.told = now_;
@@ -64,7 +64,7 @@
   o.up = true;
   o.born = now_;
   o.sent.clear();
-  list(office, Seen::ready);
+  list(office, OfficeState::ready);
 }
 
 double World::allowed(const Office& office) const {
@@ -134,7 +134,7 @@
 }
 
 void World::watch_gone(std::size_t i, const Office& office) {
-  if (office.listed != Seen::gone && office.listed != Seen::draining) return;
+  if (office.listed != OfficeState::gone && office.listed != OfficeState::draining) return;
   Time told = Time::max();  // since when a source that is live and reached has said so
   for (std::size_t j = 0; j < nodes.size(); ++j)
     if (nodes[j].turn && nodes[j].bulletin && !cut_[i * nodes.size() + j] && !cut_[j * nodes.size() + i])
@@ -195,7 +195,7 @@
     if (!nodes[i].turn) continue;
     const std::vector<bool> use = usable(i);
     for (std::size_t k = 0; k < offices.size(); ++k)
-      if (use[k] != (offices[k].up && offices[k].listed == Seen::ready)) return false;
+      if (use[k] != (offices[k].up && offices[k].listed == OfficeState::ready)) return false;
   }
   return true;
 }
