--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -13,7 +13,7 @@
 using Pace = fleet::pace::GossipScheduleSettings;
 using Recovery = fleet::recovery::RecoverySettings;
 using Leases = fleet::recovery::LeaseSettings;
-using Offices = fleet::recovery::OfficesSettings;
+using Offices = fleet::recovery::EvidenceSettings;
 using rules::entry;
 using rules::Severity;
 
--- a/src/fleet/recovery/leases.cpp
+++ b/src/fleet/recovery/leases.cpp
@@ -1,6 +1,4 @@
-// The own part of a cold office's allowance: by the agreed size while a majority of it is heard.
-//
-// Owns: the lease. Must never: give a part that, with everybody else's, could come to more than the whole.
+// A share must never be so large that the shares of all controllers together could exceed the allowance.
 #include "fleet/recovery/leases.h"
 
 #include <algorithm>
@@ -19,41 +17,41 @@
   newcomer_ = agreed_ <= 1;
 }
 
-void Leases::told(Time now, const Fleet& fleet) {
+void Leases::update(Time now, const FleetSize& fleet) {
   const std::size_t size =
       std::max({fleet.agreed, fleet.largest, fleet.live, settings_.min_size, std::size_t{1}});
   if (newcomer_ && size > 1) {
-    joined_until_ = now + 2 * settings_.lease;
+    joining_until_ = now + 2 * settings_.lease;
     newcomer_ = false;
   }
   agreed_ = std::max<std::size_t>(fleet.agreed, 1);
   largest_ = std::max(largest_, size);
-  if (2 * fleet.heard <= agreed_) return;
-  // The majority alone forgets a size that once was: what it agrees on, and what a live member still says.
+  if (2 * fleet.responding <= agreed_) return;
+  // Only a majority forgets an earlier, larger size: it uses what it agrees on and live members still report.
   largest_ = size;
   lease_ = {1.0 / static_cast<double>(size), now + settings_.lease, false, size};
 }
 
 Share Leases::share(Time now) const {
-  if (now < joined_until_) return {0.0, joined_until_, 2 * lease_.size <= agreed_, largest_};
+  if (now < joining_until_) return {0.0, joining_until_, 2 * lease_.size <= agreed_, largest_};
   if (now < lease_.until) return lease_;
   return {1.0 / static_cast<double>(largest_), Time::max(), agreed_ > 1, largest_};
 }
 
-void Leases::spent(Time /*now*/, ServerId office, std::uint64_t start, double set_ups) {
-  if (!spent_.contains(office) && spent_.size() >= settings_.most_offices) return;
-  Spent& spent = spent_[office];
-  if (start < spent.start) return;
-  if (start > spent.start) spent = {start, 0.0};
-  spent.set_ups += std::max(set_ups, 0.0);
+void Leases::record_set_ups(Time /*now*/, ServerId office, std::uint64_t start, double set_ups) {
+  if (!spending_.contains(office) && spending_.size() >= settings_.max_offices) return;
+  Spending& spending = spending_[office];
+  if (start < spending.start) return;
+  if (start > spending.start) spending = {start, 0.0};
+  spending.set_ups += std::max(set_ups, 0.0);
 }
 double Leases::set_ups_spent(ServerId office) const {
-  const auto at = spent_.find(office);
-  return at == spent_.end() ? 0.0 : at->second.set_ups;
+  const auto at = spending_.find(office);
+  return at == spending_.end() ? 0.0 : at->second.set_ups;
 }
 
 Time Leases::next(Time now) const {
-  if (now < joined_until_) return joined_until_;
+  if (now < joining_until_) return joining_until_;
   return now < lease_.until ? lease_.until : Time::max();
 }
 
@@ -61,7 +59,7 @@
   if (largest_ < std::max<std::size_t>(agreed_, 1))
     throw std::logic_error("leases: largest below the agreed size");
   if (lease_.part * static_cast<double>(lease_.size) > 1.0 + 1.0e-9)
-    throw std::logic_error("leases: more than an equal part");
+    throw std::logic_error("leases: more than an equal share");
   if (lease_.size < settings_.min_size && lease_.until > Time::min())
     throw std::logic_error("leases: divided by less than the planned size");
 }
@@ -69,10 +67,10 @@
 std::uint64_t Leases::fingerprint(Time now) const {
   Hash hash;
   hash.add(std::uint64_t{agreed_}).add(std::uint64_t{largest_}).add(std::uint64_t{newcomer_});
-  hash.since(std::max(lease_.until, now), now).add(now < lease_.until ? lease_.part : 0.0);
-  hash.since(std::max(joined_until_, now), now);
-  for (const auto& [office, spent] : spent_)
-    hash.add(static_cast<std::uint64_t>(office)).add(spent.start).add(spent.set_ups);
+  hash.add_elapsed(std::max(lease_.until, now), now).add(now < lease_.until ? lease_.part : 0.0);
+  hash.add_elapsed(std::max(joining_until_, now), now);
+  for (const auto& [office, spending] : spending_)
+    hash.add(static_cast<std::uint64_t>(office)).add(spending.start).add(spending.set_ups);
   return hash.value();
 }
 
--- a/src/fleet/recovery/leases.h
+++ b/src/fleet/recovery/leases.h
@@ -1,16 +1,18 @@
-// How much of each cold office's allowance this controller may spend now.
+// Shares of the allowances of cold offices: how much of each this controller may use now.
 //
 // The allowance of a cold office (what the settings let all controllers together send to it) is divided into
-// equal parts by the agreed size of the fleet; a part is held as a lease with an expiry, renewed while a
-// majority of the agreed size is heard. Whoever is cut off keeps its last lease to its end and then takes the
-// smallest share it has ever known: one over the largest size heard of. Where the membership is doubtful the
-// larger size counts. A newcomer has no share until every lease that was given by the smaller size has ended:
-// two leases after it was first told of others, one for them to hear of it and one for theirs to end. Whoever
-// has never agreed with others before, or restarts within that wait, is a newcomer (again). A fleet that
-// grows while it is cut needs the planned size: who is cut off cannot hear of the newcomer.
+// equal shares by the agreed size of the fleet. A share is held as a lease with an expiry, renewed while a
+// majority of the agreed size responds. A controller that is cut off keeps its last lease until it expires
+// and then takes the smallest share it has ever known: one over the largest reported size. Where the
+// membership is doubtful the larger size counts, never the number of members that are visible.
 //
-// Owns: the sizes heard of, the own leases, what was spent under them. Must never: divide by who is visible.
-// Threads: none. Equal inputs give equal outputs; copyable.
+// A newcomer has no share until every lease that was granted by the smaller size has expired: for two leases
+// after it first learns of others, one for them to learn of it and one for theirs to expire. A controller
+// that has never agreed on a size with others, or that restarts within that wait, counts as a newcomer
+// (again). A fleet that grows during a partition needs the planned size, since a member that is cut off
+// cannot learn of the newcomer.
+//
+// Not synchronised. Equal inputs give equal outputs; copyable.
 #pragma once
 
 #include <cstddef>
@@ -23,43 +25,46 @@
 
 struct LeaseSettings {
   Duration lease = std::chrono::seconds(5);
-  // Of the operator's file: the fleet's planned size, taken until a larger is agreed.
+  // The fleet's planned size, from the operator's file; used until a larger size is agreed.
   std::size_t min_size = 1;
-  std::size_t most_offices = 2048;  // whose spending is counted
+  std::size_t max_offices = 2048;  // whose use of the allowance is counted
 };
-// The membership as told: by the members' table and by what live members say they agreed on.
-struct Fleet {
-  std::size_t live = 1;     // alive now, oneself included
-  std::size_t agreed = 1;   // the last agreed size
-  std::size_t heard = 1;    // of these, members heard from in the last lease's time, oneself included
-  std::size_t largest = 1;  // any live member's agreed size
+// Sizes as reported by the membership table and by the live members' agreed sizes.
+struct FleetSize {
+  std::size_t live = 1;        // alive now, including this controller
+  std::size_t agreed = 1;      // the last agreed size
+  std::size_t responding = 1;  // members of it heard from within the last lease, including this controller
+  std::size_t largest = 1;     // largest agreed size of any live member
 };
 struct Share {
-  double part = 0.0;  // of the whole fleet's allowance, 0 to 1
+  double part = 0.0;  // of the fleet's allowance, 0 to 1
   Time until = Time::min();
   bool minority = false;
-  std::size_t size = 1;  // it was divided by
+  std::size_t size = 1;  // the divisor
 };
 
 class Leases {
  public:
   explicit Leases(const LeaseSettings& settings);
-  // As kept: the size agreed last and the largest known; a lease itself never outlives the process.
+  // From the store: the size agreed last and the largest known. A lease does not outlive the process.
   void restore(std::size_t agreed, std::size_t largest);
-  void told(Time now, const Fleet& fleet);
+  void update(Time now, const FleetSize& fleet);
   [[nodiscard]] Share share(Time now) const;
-  // Sends to the office under its present start; a start anew forgets them. For the figures and the check.
-  void spent(Time now, ServerId office, std::uint64_t start, double set_ups);
-  [[nodiscard]] bool joining(Time now) const { return now < joined_until_; }  // a newcomer, within its wait
+  // Counts set-ups sent to the office under its present start; a new start resets the count. For the metrics
+  // and the check.
+  void record_set_ups(Time now, ServerId office, std::uint64_t start, double set_ups);
+  [[nodiscard]] bool joining(Time now) const { return now < joining_until_; }  // a newcomer that still waits
   [[nodiscard]] double set_ups_spent(ServerId office) const;
   [[nodiscard]] std::size_t agreed() const { return agreed_; }
   [[nodiscard]] std::size_t largest() const { return largest_; }
-  [[nodiscard]] Time next(Time now) const;  // when share() changes by itself
+  [[nodiscard]] Time next(Time now) const;  // when share() next changes by time alone
+  // Throws std::logic_error where an invariant does not hold.
   void check() const;
+  // For the model check: equal states have equal fingerprints.
   [[nodiscard]] std::uint64_t fingerprint(Time now) const;
 
  private:
-  struct Spent {
+  struct Spending {
     std::uint64_t start = 0;
     double set_ups = 0.0;
   };
@@ -67,9 +72,9 @@
   std::size_t agreed_ = 1;
   std::size_t largest_ = 1;
   Share lease_;
-  bool newcomer_ = true;             // nothing was kept: no share beside others at first
-  Time joined_until_ = Time::min();  // no share before, for a newcomer
-  std::map<ServerId, Spent> spent_;
+  bool newcomer_ = true;              // nothing was stored: no share at first where there are others
+  Time joining_until_ = Time::min();  // end of a newcomer's wait
+  std::map<ServerId, Spending> spending_;
 };
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/mix.h
+++ b/src/fleet/recovery/mix.h
@@ -1,6 +1,5 @@
-// The hash by which recovery spreads, tries and compares: splitmix64 (Steele, Lea, Flood 2014).
-//
-// Owns: nothing. Must never: differ between builds; members of one fleet compute it alike.
+// The hash by which recovery spreads load, orders trials and compares states: splitmix64 (Steele, Lea, Flood
+// 2014). All members of a fleet have to compute it alike, so it must not differ between builds.
 #pragma once
 
 #include <bit>
@@ -17,17 +16,19 @@
   return x ^ (x >> 31U);
 }
 constexpr std::uint64_t mix(std::uint64_t a, std::uint64_t b) { return mix(mix(a) ^ b); }
-// From 0 to below 1.
+// Maps a hash to [0, 1).
 constexpr double unit_fraction(std::uint64_t hash) { return static_cast<double>(hash >> 11U) * 0x1.0p-53; }
 
-class Hash {  // of a sequence of numbers, in their order
+// Hash of a sequence of numbers; their order counts.
+class Hash {
  public:
   Hash& add(std::uint64_t value) {
     sum_ = mix(sum_, value);
     return *this;
   }
   Hash& add(double value) { return add(std::bit_cast<std::uint64_t>(value)); }
-  Hash& since(Time at, Time now) {
+  // Adds the time from `at` to `now`, so that states that differ by a shift in time hash alike.
+  Hash& add_elapsed(Time at, Time now) {
     const bool never = at == Time::min() || at == Time::max();
     return add(never ? ~std::uint64_t{0} : static_cast<std::uint64_t>((at - now).count()));
   }
--- a/src/fleet/recovery/offices.h
+++ b/src/fleet/recovery/offices.h
@@ -1,35 +1,33 @@
-// What is believed of each office while service returns: from the store, from others, from the own eyes.
+// The assessment of each office while service returns, from the store, from other members and from this
+// process's own observations.
 //
-// Owns: every piece of evidence, by source and age, and the verdict that follows from it.
-// Must never: do I/O, read a clock, or let anybody's word revive an office that a live source calls draining
-// or gone: a newer start alone does.
+// Ranks of evidence, highest first:
+//   listed    by a live bulletin (the own one, or one that a live member follows now): ready, draining, gone
+//   survivor  observed by a member that never lost power: an answer, a refused connection, silence
+//   own       observed by this process since its start: the same
+//   peer      observed by a member that has itself returned: the same
+//   stored    from the own store, weighted by kind and age with the curve below; an unknown age, an age in
+//             the future or the store of another fleet counts as the oldest
 //
-// Rank of evidence, the higher first:
-//   told      by a live bulletin (the own one, or one that a live member follows now): ready, draining, gone
-//   survivor  seen by a member that never lost power: an answer, a refused connection, silence
-//   own       seen by this process since its start: the same
-//   peer      seen by a member that has itself come back: the same
-//   kept      from the own store, weighed by kind and age with the curve below; unknown age, an age in the
-//             future or another fleet's disk: as the oldest
+// The verdict is a function of the set of evidence and the time, never of the order of arrival. An instance
+// is one run of an office's process, identified by its start and address.
+//   instance  The newest start counts. At an equal start another address is another office only if a list
+//             says so, and of two lists the higher (epoch, number, digest) does. Observations of other
+//             instances do not count. A start that only peers or the store report counts only where no
+//             better source reports one.
+//   ended     Draining or gone, reported by a list for this instance: barred, permanently. No other evidence
+//             revives it; only a newer start does. The one exception is an office of unknown start (0), for
+//             which no newer start can be reported: the member that reported it ended can withdraw that; with
+//             a newer list than all such reports it withdraws it for all reporters.
+//   listed    Of several lists the highest decides between ready and absent; at equal lists the worse counts.
+//   observed  An answer outweighs younger refusals and silences of the same or a lower rank for
+//             `answer_grace`, and those of a higher rank only where the answer is younger; otherwise the
+//             office is on trial.
+//   stored    By the curve; barred where the store holds it as draining or gone.
+// Of one source only the youngest observation counts, and the worse at an equal age.
 //
-// The verdict is a function of the set of evidence and the time, never of the order in which it came:
-//   life      the newest start counts; at an equal start another address is another office only if a list
-//   says
-//             so, and of two lists the higher (epoch, number, digest) does. What was seen of other lives says
-//             nothing. A start that only peers or the store name counts where nobody better has named one.
-//   ended     draining or gone told of this life: barred, for good. The one exception is an office whose
-//   start
-//             is not known (0): who called it so can take it back, since no newer start could be told of it;
-//             by a newer list than any that called it so, for all of them.
-//   told      of several lists the highest says ready or absent; at equal lists the worse counts
-//   seen      an answer counts for `answer_grace` against younger refusals and silences of the same or a
-//   lower
-//             rank, and against a higher rank's only where it is younger; else the office is on trial
-//   kept      by the curve, and barred where it was kept as draining or gone
-// Of one source the younger sight alone counts, the worse at an equal age.
-//
-// Trust of what was kept: 0.5 to the power of age / half-life of its kind; `trusted` at trust_threshold or
-// above. Threads: none. Equal inputs give equal outputs.
+// Confidence in stored evidence: 0.5 to the power of age / half-life of its kind; `trusted` at
+// trust_threshold or above. No I/O, no clock reads. Not synchronised. Equal inputs give equal outputs.
 #pragma once
 
 #include <cstddef>
@@ -42,8 +40,8 @@
 
 namespace reeltack::fleet::recovery {
 
-// An office as the list names it. `start`: Unix milliseconds of its process's start as told; 0: long ago. It
-// is the office's own number of its life, compared with itself alone.
+// One instance of an office. `start` is the reported start of its process in Unix milliseconds (0: unknown,
+// long ago). The office assigns it, so it is comparable only with other starts of the same office.
 struct Office {
   ServerId id{};
   std::uint64_t start = 0;
@@ -53,9 +51,9 @@
   auto operator<=>(const Office&) const = default;
 };
 enum class Rank : std::uint8_t { listed, survivor, own, peer, stored };
-// absent: a complete list that does not name it; bars while that list stands, and does not stick.
+// absent: a complete list does not name it; bars the office only while that list is current.
 enum class OfficeState : std::uint8_t { ready, answered, draining, gone, refused, silent, absent };
-// Of two lists the higher counts, everywhere.
+// Identifies a list of offices. Of two lists the higher takes precedence, on every member.
 struct ListId {
   std::uint64_t epoch = 0, number = 0, digest = 0;
   auto operator<=>(const ListId&) const = default;
@@ -64,108 +62,114 @@
   Office office;
   Rank rank{};
   OfficeState state{};
-  MemberId source{};                    // who saw it; the own process included
-  std::optional<Duration> age;          // none: unknown, as the oldest
-  ListId list{};                        // of rank told: of which list
-  std::optional<Duration> uptime = {};  // how long the office had run then, where it is known
+  MemberId source{};                    // the member it comes from, which may be this process
+  std::optional<Duration> age;          // none: unknown, counts as the oldest
+  ListId list{};                        // for rank listed: the list it is from
+  std::optional<Duration> uptime = {};  // of the office at that time, where known
 };
 
-// barred: nothing new goes there. trial: one set-up at a time, by the one member whose turn it is. trusted.
+// barred: receives no new set-ups. trial: one set-up at a time, from the one member that holds the slot.
 enum class Verdict : std::uint8_t { barred, trial, trusted };
+// The verdict on an office. Rank, state, source and age are those of the evidence that decided.
 struct OfficeAssessment {
   Office office;
   Verdict verdict{};
-  Rank rank{};  // of what decided
+  Rank rank{};
   OfficeState state{};
-  double trust = 0.0;  // of what was kept, where that decided
-  bool cold = false;   // its start is younger than the ramp, as far as is known
-  Duration uptime{};   // since its start, a lower bound; where not known nought
+  double confidence = 0.0;  // where stored evidence decided
+  bool cold = false;        // its start is younger than the ramp, as far as known
+  Duration uptime{};        // lower bound of the time since its start; 0 where not known
   const char* reason = "";
-  MemberId source{};              // of what decided; nobody where a store or nothing did
-  std::optional<Duration> age{};  // of what decided; none: unknown
+  MemberId source{};              // empty where the store decided, or there was no evidence
+  std::optional<Duration> age{};  // none: unknown
 };
-struct OfficesSettings {
-  Duration half_life_state = std::chrono::seconds(120);  // an office seen up, or refused
+struct EvidenceSettings {
+  Duration half_life_state = std::chrono::seconds(120);  // that an office is up, or refuses
   Duration half_life_list = std::chrono::hours(12);      // that it exists at this address
   Duration half_life_warm = std::chrono::seconds(60);    // that it is warm
   double trust_threshold = 0.5;
-  Duration ramp{};                                  // of the settings: warm after it
-  Duration answer_grace = std::chrono::seconds(3);  // an answer older than a younger silence is doubt
-  std::size_t most_offices = 2048;
-  std::size_t max_sources = 64;  // evidence kept an office; the weakest is dropped
+  Duration ramp{};                                  // from the settings: an office is warm after it
+  Duration answer_grace = std::chrono::seconds(3);  // an answer this much older than a silence still counts
+  std::size_t max_offices = 2048;
+  std::size_t max_sources = 64;  // pieces of evidence per office; beyond it the weakest is dropped
 };
 
-class Offices {
+class OfficeEvidence {
  public:
-  explicit Offices(const OfficesSettings& settings) : settings_(settings) {}
-  // Ages run from `now` on. True: some verdict may have changed.
-  bool saw(Time now, const Evidence& evidence);
-  // Its word counts no longer (dead, left, or found faulty); what it called ended stays ended.
-  void forget(MemberId source);
-  // Its list is no longer live: what that said ready counts as seen by `as`, what it said absent is void.
+  explicit OfficeEvidence(const EvidenceSettings& settings) : settings_(settings) {}
+  // Ages are counted from `now`. Returns true if a verdict may have changed.
+  bool add(Time now, const Evidence& evidence);
+  // Drops the evidence of a member that is dead, has left or was found faulty. What it reported as ended
+  // stays ended.
+  void forget_source(MemberId source);
+  // The source's list is no longer live: what it listed as ready counts as observed, with rank `as`; what it
+  // listed as absent is dropped.
   void forget_list(MemberId source, Rank as);
-  [[nodiscard]] OfficeAssessment judge(Time now, ServerId office) const;
-  [[nodiscard]] std::vector<OfficeAssessment> all(Time now) const;  // by id
-  [[nodiscard]] std::size_t size() const { return known_.size(); }
-  [[nodiscard]] Time next(Time now) const;  // when a verdict or a warmth may change by age alone
+  [[nodiscard]] OfficeAssessment assess(Time now, ServerId office) const;
+  [[nodiscard]] std::vector<OfficeAssessment> assess_all(Time now) const;  // by id
+  [[nodiscard]] std::size_t size() const { return offices_.size(); }
+  // When a verdict or the warmth of an office may next change by age alone.
+  [[nodiscard]] Time next(Time now) const;
+  // Throws std::logic_error where an invariant does not hold.
   void check() const;
-  [[nodiscard]] std::uint64_t fingerprint(
-      Time now) const;  // for the model check: equal states, equal numbers
+  // For the model check: equal states have equal fingerprints.
+  [[nodiscard]] std::uint64_t fingerprint(Time now) const;
 
  private:
-  struct Line {
+  struct Entry {
     Evidence evidence;
-    std::optional<Time> as_of;  // none: unknown
+    std::optional<Time> observed_at;  // none: unknown
   };
-  struct Ended {  // a life, by its start and address, that a list calls draining or gone
+  struct EndedInstance {  // an instance that a list reports as draining or gone
     Office office;
     OfficeState state{};
-    MemberId by{};
-    Time as_of{};
+    MemberId reporter{};
+    Time observed_at{};
     ListId list{};
-    std::set<MemberId> callers{};  // of an unknown start: all who have called it so
+    std::set<MemberId> reporters{};  // for an unknown start: all that have reported it ended
   };
-  // What the evidence alone decides, at any time: the verdict, or that it goes by the curve (`ages`).
-  struct Decided {
+  // What the evidence alone decides at any time: the verdict, or that it follows the curve (`decays`).
+  struct Decision {
     Office office;
     Verdict verdict{};
     Rank rank{};
     OfficeState state{};
     const char* reason = "";
     MemberId source{};
-    std::optional<Time> as_of;  // of the line that decided; none: unknown, or no line did
-    Time kept = Time::min();    // the youngest that was kept
-    bool ages = false;
-    bool operator==(const Decided&) const = default;
+    std::optional<Time> observed_at;  // of the entry that decided; none: unknown, or no entry did
+    Time stored_at = Time::min();     // of the youngest stored evidence
+    bool decays = false;
+    bool operator==(const Decision&) const = default;
   };
-  struct Known {
-    std::vector<Line> lines;  // by source and kind; one of each
+  struct OfficeRecord {
+    std::vector<Entry> entries;  // one per source and kind, in that order
     std::uint64_t ended_start = 0;
-    std::vector<Ended> ended;
-    std::map<Endpoint, ListId> back;  // of an unknown start: taken back for all, by this list
-    std::uint64_t oldest_start = 0;   // of all lives heard of: a later one has started since
-    std::uint64_t first_start = 0;    // the newest start, and
-    std::optional<Time> first;        // the earliest sight of it
-    std::optional<Time> born;         // its start, where someone knew how long it had run
-    // Reckoned, until the evidence changes.
-    mutable std::optional<Decided> decided;
-    mutable std::optional<Time> next;  // the first mark after the time of its reckoning
-    void changed() { decided.reset(), next.reset(); }
+    std::vector<EndedInstance> ended;
+    std::map<Endpoint, ListId> reinstated;  // unknown start: the list that withdrew the end for all reporters
+    std::uint64_t oldest_start = 0;         // of all reported instances; a greater one is a later start
+    std::uint64_t newest_start = 0;
+    std::optional<Time> first_observed_at;  // earliest observation of the newest start
+    std::optional<Time> started_at;         // of the newest start, where a source reported the uptime
+    // Caches, valid until the evidence changes.
+    mutable std::optional<Decision> decision;
+    mutable std::optional<Time> next_change;  // the first after the time at which it was computed
+    void changed() { decision.reset(), next_change.reset(); }
   };
-  [[nodiscard]] static Office life(const Known& known);
-  [[nodiscard]] Decided decide(const Known& known) const;
-  [[nodiscard]] Time next(Time now, const Known& known) const;
-  [[nodiscard]] OfficeAssessment judge(Time now, const Known& known) const;
-  void warmth(Time now, const Known& known, Time kept, OfficeAssessment& judged) const;
-  bool end(Known& known, const Line& line) const;
-  bool take_back(Known& known, const Line& line) const;
-  bool drop_weakest(Known& known) const;
+  [[nodiscard]] static Office current_instance(const OfficeRecord& record);
+  [[nodiscard]] Decision decide(const OfficeRecord& record) const;
+  [[nodiscard]] Time next(Time now, const OfficeRecord& record) const;
+  [[nodiscard]] OfficeAssessment assess(Time now, const OfficeRecord& record) const;
+  void assess_warmth(Time now, const OfficeRecord& record, Time stored_at,
+                     OfficeAssessment& assessment) const;
+  bool mark_ended(OfficeRecord& record, const Entry& entry) const;
+  bool reinstate(OfficeRecord& record, const Entry& entry) const;
+  bool drop_weakest(OfficeRecord& record) const;
 
-  OfficesSettings settings_;
-  std::map<ServerId, Known> known_;
+  EvidenceSettings settings_;
+  std::map<ServerId, OfficeRecord> offices_;
 };
 
-// The curve itself. An absent or negative age counts as the oldest: 0.
-double trust(std::optional<Duration> age, Duration half_life);
+// Confidence in evidence of this age, 0 to 1. An absent or negative age counts as the oldest: 0.
+double confidence(std::optional<Duration> age, Duration half_life);
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/publishing.cpp
+++ b/src/fleet/recovery/publishing.cpp
@@ -1,9 +1,8 @@
-// What recovery says to the members: the own stage, list and rates, and what is known of offices.
+// Facts published to the members: the own stage, list and rates, and evidence about offices. To limit the
+// traffic only a few members report on each office.
 //
-// Owns: nothing beyond its class. Must never: say what nobody needs: of each office a few members speak.
-//
-// Each event asks what is to be said, and few change it. Of offices it is looked for when a verdict, the own
-// eyes, the list, the speakers or the stage have changed, and when a repetition is due (publish_at_).
+// Every event checks what is due, and few events change that. Offices are checked when a verdict, an own
+// observation, the list, the reporters or the stage has changed, and when a renewal is due (offices_due_at_).
 #include <algorithm>
 #include <cmath>
 
@@ -14,83 +13,88 @@
 namespace reeltack::fleet::recovery {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t kSpeakers = 3;  // members that renew what is known of an office
-constexpr Duration kSoon = 500ms;     // a fact that changes to and fro is told no more often
-constexpr Duration kNews = 1s;        // after the list was heard
-// A fact's sense, to compare it by: what is told, what is seen, of which life.
-constexpr int kToldSense = 7;
-constexpr int sense_of(OfficeState seen) { return 1 + static_cast<int>(seen); }  // nought: nothing
-double rounded(double rate) {  // to an eighth, so that a small change is not told
+constexpr std::size_t kReportersPerOffice = 3;  // members that renew the evidence about an office
+constexpr Duration kMinChangeInterval = 500ms;  // between publications of a flapping fact
+constexpr Duration kNewListWindow = 1s;         // after a list was received
+// The signature of an office's fact, by which changes are detected: listed state, observed state, instance.
+constexpr int kListedSignatureMask = 7;
+constexpr int signature_of(OfficeState state) { return 1 + static_cast<int>(state); }  // 0: none
+// Rounds to steps of about an eighth (a sixth of an octave), so that small changes are not published.
+double rounded_rate(double rate) {
   if (rate < 0.01) return 0.0;
   return std::exp2(std::round(std::log2(rate) * 6.0) / 6.0);
 }
 }  // namespace
 
-void Recovery::put(Time now, facts::Key key, std::string value, int sense, Actions& actions) {
-  published_[key] = {value, now, sense};
+void Recovery::publish_fact(Time now, facts::Key key, std::string value, int signature, Actions& actions) {
+  published_[key] = {value, now, signature};
   actions.emplace_back(Publish{key, std::move(value)});
 }
 
 void Recovery::publish(Time now, Actions& actions) {
   if (!linked_ || stage_ == Stage::dark) return;
-  const auto due = [&](const facts::Key& key, int sense, Duration renewal, Duration soon) {
-    const auto had = published_.find(key);
-    if (had == published_.end()) return true;
-    const Duration since = now - had->second.at;
-    return since >= renewal || (sense != had->second.sense && since >= soon);
+  const auto due = [&](const facts::Key& key, int signature, Duration renewal, Duration change_interval) {
+    const auto previous = published_.find(key);
+    if (previous == published_.end()) return true;
+    const Duration elapsed = now - previous->second.at;
+    return elapsed >= renewal || (signature != previous->second.signature && elapsed >= change_interval);
   };
   const facts::Key stage{facts::Kind::stage, 0};
-  const int sense = static_cast<int>(stage_) + (recovering_ ? 8 : 0) +
-                    16 * static_cast<int>(leases_.agreed()) + 1024 * static_cast<int>(leases_.largest());
-  if (due(stage, sense, stage_renewal(), 0ns) || (speak_ && due(stage, sense, kSoon, 0ns))) {
-    put(now, stage, write(stage_value(now)), sense, actions);
-    speak_ = false;
+  const int stage_signature = static_cast<int>(stage_) + (recovering_ ? 8 : 0) +
+                              16 * static_cast<int>(leases_.agreed()) +
+                              1024 * static_cast<int>(leases_.largest());
+  if (due(stage, stage_signature, stage_renewal(), 0ns) ||
+      (announce_stage_ && due(stage, stage_signature, kMinChangeInterval, 0ns))) {
+    publish_fact(now, stage, write(stage_value(now)), stage_signature, actions);
+    announce_stage_ = false;
   }
   const facts::Key lease{facts::Kind::lease, 0};
-  const Duration often = std::max<Duration>(10s, static_cast<std::int64_t>(live_.size()) * Duration(1s));
-  if (carried_news_ && due(lease, 1, often, often)) {
-    carried_news_ = false;
+  const Duration interval = std::max<Duration>(10s, static_cast<std::int64_t>(live_.size()) * Duration(1s));
+  if (own_rates_changed_ && due(lease, 1, interval, interval)) {
+    own_rates_changed_ = false;
     Rates rates;
-    for (const auto& [office, rate] : carried_)
-      if (rounded(rate) > 0.0) rates[office] = rounded(rate);
+    for (const auto& [office, rate] : own_rates_)
+      if (rounded_rate(rate) > 0.0) rates[office] = rounded_rate(rate);
     std::string value = write(rates);
-    const auto had = published_.find(lease);
-    if (had == published_.end() ? !rates.empty() : had->second.value != value)
-      put(now, lease, std::move(value), 1, actions);
+    const auto previous = published_.find(lease);
+    if (previous == published_.end() ? !rates.empty() : previous->second.value != value)
+      publish_fact(now, lease, std::move(value), 1, actions);
   }
   publish_offices(now, actions);
-  // After the words of it: facts come in the order in which they were written.
-  const ListValue list{bulletin_, list_};
-  if (told_list_ != list) {
-    put(now, {facts::Kind::list, 0}, write(list), 0, actions);
-    told_list_ = list;
+  // After the facts about its offices: facts arrive in the order in which they were written.
+  const ListValue list{list_is_live_, list_};
+  if (published_list_ != list) {
+    publish_fact(now, {facts::Kind::list, 0}, write(list), 0, actions);
+    published_list_ = list;
   }
 }
 
 void Recovery::publish_offices(Time now, Actions& actions) {
-  const bool others = recovering_ || reckoned(now).returning;
-  const std::tuple as{stage_, recovering_, others, bulletin_, whole_list_};
-  const bool news = !news_.empty() && now - heard_ < kNews;
-  if (now < publish_at_ && as == published_as_ && !news) return;
-  published_as_ = as;
-  publish_at_ = Time::max();
-  for (const OfficeAssessment& judged : judged_) {
-    const std::optional<OfficeValue> value = value_of(now, judged);
+  const bool others = recovering_ || summary(now).returning;
+  const std::tuple inputs{stage_, recovering_, others, list_is_live_, complete_list_received_};
+  const bool new_list = !changed_instances_.empty() && now - list_received_at_ < kNewListWindow;
+  if (now < offices_due_at_ && inputs == published_inputs_ && !new_list) return;
+  published_inputs_ = inputs;
+  offices_due_at_ = Time::max();
+  for (const OfficeAssessment& assessment : assessments_) {
+    const std::optional<OfficeValue> value = office_value(now, assessment);
     if (!value) continue;
-    const Due due = due_of(now, judged, *value, others, speaks(judged.office.id));
-    const facts::Key key{facts::Kind::office, static_cast<std::uint64_t>(judged.office.id)};
-    if (due.now) put(now, key, write(*value), due.sense, actions);
-    publish_at_ = std::min(publish_at_, due.next);
+    const Due due = office_due(now, assessment, *value, others, is_reporter(assessment.office.id));
+    const facts::Key key{facts::Kind::office, static_cast<std::uint64_t>(assessment.office.id)};
+    if (due.now) publish_fact(now, key, write(*value), due.signature, actions);
+    offices_due_at_ = std::min(offices_due_at_, due.next);
   }
 }
 
-// Of those who never lost power, where this is one; reckoned anew with the members, and each second.
-bool Recovery::speaks(ServerId id) {
-  const auto known = speaks_.find(id);
-  if (known != speaks_.end()) return known->second;
-  // Until the others are known as survivors too, all count: else each would be the only one and tell all.
+// Chosen among the members that never lost power, if this is one of them. Recomputed when the membership
+// changes and every second.
+bool Recovery::is_reporter(ServerId id) {
+  const auto cached = reporter_cache_.find(id);
+  if (cached != reporter_cache_.end()) return cached->second;
+  // Until the others are known as survivors too, all members count: otherwise each would be the only reporter
+  // and publish everything.
   const bool settled =
-      !recovering_ && stage_ == Stage::full && last_ - full_since_ > 2 * settings_.loss_window;
+      !recovering_ && stage_ == Stage::full && last_step_at_ - full_since_ > 2 * settings_.loss_window;
   const auto survived = [&](MemberId m) {
     const auto peer = peers_.find(m);
     return !settled || m == self_ || (peer != peers_.end() && peer->second.survivor);
@@ -99,92 +103,100 @@
     const auto peer = peers_.find(m);
     return m == self_ || peer == peers_.end() || peer->second.list.live || !peer->second.stage;
   };
-  // And of those with a live list.
-  return speaks_[id] = among_first(self_, id, live_, kSpeakers, survived) ||
-                       (bulletin_ && among_first(self_, id, live_, kSpeakers, listed));
+  // Also among the members with a live list.
+  return reporter_cache_[id] = among_first(self_, id, live_, kReportersPerOffice, survived) ||
+                               (list_is_live_ && among_first(self_, id, live_, kReportersPerOffice, listed));
 }
 
-// What was once said of it still stands for the list that is named: it has to be true of each one.
-bool Recovery::said_not_over(ServerId id) const {
-  const auto had = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
-  const int told = had == published_.end() ? 0 : had->second.sense & kToldSense;
-  return told == sense_of(OfficeState::ready) || told == sense_of(OfficeState::absent);
+// Whether the last published fact lists the office as ready or absent. Such a fact is read as part of
+// whichever list is named later, so it has to be kept true for each list.
+bool Recovery::published_as_not_ended(ServerId id) const {
+  const auto previous = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
+  const int listed = previous == published_.end() ? 0 : previous->second.signature & kListedSignatureMask;
+  return listed == signature_of(OfficeState::ready) || listed == signature_of(OfficeState::absent);
 }
 
-std::optional<OfficeValue> Recovery::value_of(Time now, const OfficeAssessment& judged) const {
-  const ServerId id = judged.office.id;
+std::optional<OfficeValue> Recovery::office_value(Time now, const OfficeAssessment& assessment) const {
+  const ServerId id = assessment.office.id;
   OfficeValue value;
-  const auto own = own_.find(id);
-  const auto told = told_.find(id);
-  if (told != told_.end()) {
-    value.office = told->second.office;
-    if (bulletin_ || over(told->second.state)) value.listed = Observation{told->second.state, {}};
-  } else if (bulletin_ && whole_list_ && (!over(judged.state) || said_not_over(id))) {
-    value.office = judged.office;
+  const auto own = observed_.find(id);
+  const auto listed = listed_.find(id);
+  if (listed != listed_.end()) {
+    value.office = listed->second.office;
+    if (list_is_live_ || is_ended(listed->second.state)) value.listed = Observation{listed->second.state, {}};
+  } else if (list_is_live_ && complete_list_received_ &&
+             (!is_ended(assessment.state) || published_as_not_ended(id))) {
+    value.office = assessment.office;
     value.listed = Observation{OfficeState::absent, {}};
   }
-  if (own != own_.end() && (!value.listed || own->second.office.start == value.office.start)) {
+  if (own != observed_.end() && (!value.listed || own->second.office.start == value.office.start)) {
     if (!value.listed) value.office = own->second.office;
     value.observed = Observation{own->second.state, now - own->second.at};
   }
   if (!value.observed && !value.listed) return std::nullopt;
-  if (judged.cold && judged.office == value.office) value.uptime = judged.uptime;
+  if (assessment.cold && assessment.office == value.office) value.uptime = assessment.uptime;
   return value;
 }
 
-// A few members speak of each office, of those who never lost power if there are some; besides these whoever
-// has seen what the verdict does not say, has been told that it is over, or has just tried it.
-Recovery::Due Recovery::due_of(Time now, const OfficeAssessment& judged, const OfficeValue& value,
-                               bool others, bool speaker) const {
-  const ServerId id = judged.office.id;
-  const bool ended = value.listed && over(value.listed->state);
-  const bool contrary = value.observed && up(value.observed->state) != (judged.verdict == Verdict::trusted);
-  const bool tried = value.observed && recovering_ && value.observed->age < 1s && judged.rank != Rank::listed;
-  const auto had = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
-  const int told_sense = value.listed ? sense_of(value.listed->state) : 0;
-  const std::uint64_t life = mix(mix(value.office.start, value.office.at.address), value.office.at.port);
+// A few members report on each office, chosen among those that never lost power if there are any. Besides
+// these a member reports if it has observed what contradicts the verdict, has it listed as ended, or has just
+// tried it.
+Recovery::Due Recovery::office_due(Time now, const OfficeAssessment& assessment, const OfficeValue& value,
+                                   bool others, bool reporter) const {
+  const ServerId id = assessment.office.id;
+  const bool ended = value.listed && is_ended(value.listed->state);
+  const bool contrary =
+      value.observed && is_up(value.observed->state) != (assessment.verdict == Verdict::trusted);
+  const bool tried =
+      value.observed && recovering_ && value.observed->age < 1s && assessment.rank != Rank::listed;
+  const auto previous = published_.find({facts::Kind::office, static_cast<std::uint64_t>(id)});
+  const int listed_signature = value.listed ? signature_of(value.listed->state) : 0;
+  const std::uint64_t instance = mix(mix(value.office.start, value.office.at.address), value.office.at.port);
   Due due;
-  due.sense = told_sense + 8 * (value.observed ? sense_of(value.observed->state) : 0) +
-              64 * static_cast<int>(life & 0xffffffU);
-  const bool changed = had == published_.end() || had->second.sense != due.sense;
-  const Duration since = had == published_.end() ? Duration::max() : now - had->second.at;
-  const bool moved =
-      changed && value.listed && had != published_.end() && had->second.sense / 64 != due.sense / 64;
-  const bool told_change =
-      moved || (had != published_.end() && (had->second.sense & kToldSense) != told_sense);
-  // Told by so many of the same life that one more adds nothing; who has told otherwise takes it back.
-  const auto told_by_enough = [&] {
-    std::size_t tellers = 0;
+  due.signature = listed_signature + 8 * (value.observed ? signature_of(value.observed->state) : 0) +
+                  64 * static_cast<int>(instance & 0xffffffU);
+  const bool changed = previous == published_.end() || previous->second.signature != due.signature;
+  const Duration elapsed = previous == published_.end() ? Duration::max() : now - previous->second.at;
+  const bool moved = changed && value.listed && previous != published_.end() &&
+                     previous->second.signature / 64 != due.signature / 64;
+  const bool listed_changed =
+      moved || (previous != published_.end() &&
+                (previous->second.signature & kListedSignatureMask) != listed_signature);
+  // So many members have published the same for this instance that one more adds nothing. A member that has
+  // published otherwise still corrects that.
+  const auto published_by_enough = [&] {
+    std::size_t reporters = 0;
     for (const auto& [member, peer] : peers_) {
-      const auto held = peer.offices.find(id);
-      if (held == peer.offices.end() || !live_.contains(member)) continue;
-      const OfficeValue& said = held->second.value;
-      if (said.observed && up(said.observed->state) == up(value.observed->state) &&
-          said.office == value.office && held->second.at - said.observed->age >= asked_ &&
-          ++tellers >= kSpeakers)
+      const auto office = peer.offices.find(id);
+      if (office == peer.offices.end() || !live_.contains(member)) continue;
+      const OfficeValue& theirs = office->second.value;
+      if (theirs.observed && is_up(theirs.observed->state) == is_up(value.observed->state) &&
+          theirs.office == value.office && office->second.at - theirs.observed->age >= asking_since_ &&
+          ++reporters >= kReportersPerOffice)
         return true;
     }
     return false;
   };
-  // A life that nobody else has named since the list was heard.
-  const bool news = value.listed && now - heard_ < kNews && changed && news_.contains(id) &&
-                    std::none_of(peers_.begin(), peers_.end(), [&](const auto& at) {
-                      const auto held = at.second.offices.find(id);
-                      return held != at.second.offices.end() && held->second.value.listed &&
-                             held->second.value.office.start >= value.office.start &&
-                             held->second.value.office.at == value.office.at;
-                    });
+  // An instance that no other member has reported since the list was received.
+  const bool new_instance = value.listed && now - list_received_at_ < kNewListWindow && changed &&
+                            changed_instances_.contains(id) &&
+                            std::none_of(peers_.begin(), peers_.end(), [&](const auto& at) {
+                              const auto office = at.second.offices.find(id);
+                              return office != at.second.offices.end() && office->second.value.listed &&
+                                     office->second.value.office.start >= value.office.start &&
+                                     office->second.value.office.at == value.office.at;
+                            });
   const auto members = static_cast<std::int64_t>(live_.size());
   const Duration renewal = others ? std::max<Duration>(2s, members * Duration(50ms))
                                   : std::max<Duration>(40s, members * Duration(200ms));
-  due.now = changed ? (since >= kSoon || told_change || ended || news) &&
-                          (speaker || ended || contrary || told_change || news ||
-                           (tried && (had != published_.end() || !told_by_enough())))
-                    : since >= renewal && speaker;
+  due.now = changed ? (elapsed >= kMinChangeInterval || listed_changed || ended || new_instance) &&
+                          (reporter || ended || contrary || listed_changed || new_instance ||
+                           (tried && (previous != published_.end() || !published_by_enough())))
+                    : elapsed >= renewal && reporter;
   if (due.now)
     due.next = now + renewal;
-  else if (since < (changed ? kSoon : renewal))
-    due.next = had->second.at + (changed ? kSoon : renewal);
+  else if (elapsed < (changed ? kMinChangeInterval : renewal))
+    due.next = previous->second.at + (changed ? kMinChangeInterval : renewal);
   return due;
 }
 
--- a/src/fleet/recovery/sight.h
+++ b/src/fleet/recovery/sight.h
@@ -1,20 +1,18 @@
-// How pieces of evidence compare: by which part of their source, and which is the worse.
-//
-// Owns: nothing. Must never: be included outside this room.
+// Ordering of pieces of evidence: by the kind of their source and by severity. Internal to this module.
 #pragma once
 
 #include "fleet/recovery/offices.h"
 
 namespace reeltack::fleet::recovery {
 
-enum class Part : std::uint8_t { list, eyes, store };
-inline Part part_of(const Evidence& e) {
-  if (e.rank == Rank::listed) return Part::list;
-  return e.rank == Rank::stored ? Part::store : Part::eyes;
+enum class SourceKind : std::uint8_t { list, observation, store };
+inline SourceKind source_kind(const Evidence& e) {
+  if (e.rank == Rank::listed) return SourceKind::list;
+  return e.rank == Rank::stored ? SourceKind::store : SourceKind::observation;
 }
-// Of equal age the higher counts.
-inline int worse(OfficeState seen) {
-  switch (seen) {
+// Among evidence of equal age the more severe state counts.
+inline int severity(OfficeState state) {
+  switch (state) {
     case OfficeState::answered:
       return 0;
     case OfficeState::ready:
@@ -32,9 +30,12 @@
   }
   return 6;
 }
-inline bool up(OfficeState seen) { return seen == OfficeState::ready || seen == OfficeState::answered; }
-inline bool over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
-inline Time of(std::optional<Time> as_of) { return as_of.value_or(Time::min()); }
-inline Duration since(Time now, Time at) { return at == Time::min() ? Duration::max() : now - at; }
+inline bool is_up(OfficeState state) { return state == OfficeState::ready || state == OfficeState::answered; }
+inline bool is_ended(OfficeState state) {
+  return state == OfficeState::draining || state == OfficeState::gone;
+}
+// An unknown time sorts before every known one.
+inline Time or_earliest(std::optional<Time> observed_at) { return observed_at.value_or(Time::min()); }
+inline Duration elapsed_since(Time now, Time at) { return at == Time::min() ? Duration::max() : now - at; }
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/trials.cpp
+++ b/src/fleet/recovery/trials.cpp
@@ -1,6 +1,3 @@
-// The order of those who try a doubtful office, and whose turn it is.
-//
-// Owns: nothing beyond its class. Must never: read a clock.
 #include "fleet/recovery/trials.h"
 
 #include <algorithm>
@@ -21,44 +18,45 @@
   std::sort(weights.begin(), weights.end(), std::greater<>());
   std::vector<MemberId> order;
   order.reserve(live.size());
-  for (const auto& [by, member] : weights) order.push_back(member);
+  for (const auto& [hash, member] : weights) order.push_back(member);
   return order;
 }
-void Trials::told(Time now, const std::vector<OfficeAssessment>& offices, bool begun) {
+void Trials::update(Time now, const std::vector<OfficeAssessment>& offices, bool started) {
   std::map<ServerId, Trial> trials;
-  for (const OfficeAssessment& judged : offices) {
-    if (!begun || judged.verdict != Verdict::trial) continue;
-    Trial trial{judged.office, judged.source, now};
-    const auto had = trials_.find(judged.office.id);
-    if (had != trials_.end() && had->second.office == trial.office && had->second.after == trial.after)
-      trial.since = had->second.since, trial.turn = had->second.turn;
-    trials.emplace(judged.office.id, trial);
+  for (const OfficeAssessment& assessment : offices) {
+    if (!started || assessment.verdict != Verdict::trial) continue;
+    Trial trial{assessment.office, assessment.source, now};
+    const auto previous = trials_.find(assessment.office.id);
+    if (previous != trials_.end() && previous->second.office == trial.office &&
+        previous->second.start_after == trial.start_after)
+      trial.since = previous->second.since, trial.slot = previous->second.slot;
+    trials.emplace(assessment.office.id, trial);
   }
   trials_ = std::move(trials);
 }
 
-MemberId Trials::whose(Time now, const OfficeAssessment& office, const std::set<MemberId>& live) const {
+MemberId Trials::holder(Time now, const OfficeAssessment& office, const std::set<MemberId>& live) const {
   const auto trial = trials_.find(office.office.id);
   if (trial == trials_.end() || live.empty()) return MemberId{};
   const Trial& t = trial->second;
-  const auto turns = (now - t.since) / kTrialSlot;
-  if (t.turn && t.turn->first == turns) return t.turn->second;
+  const auto slots = (now - t.since) / kTrialSlot;
+  if (t.slot && t.slot->first == slots) return t.slot->second;
   const std::vector<MemberId> order = trial_order(office.office.id, live);
-  const auto after = std::find(order.begin(), order.end(), t.after);
+  const auto after = std::find(order.begin(), order.end(), t.start_after);
   const auto first = after == order.end() ? 0 : static_cast<std::size_t>(after - order.begin()) + 1;
-  t.turn = {turns, order[(first + static_cast<std::size_t>(turns)) % order.size()]};
-  return t.turn->second;
+  t.slot = {slots, order[(first + static_cast<std::size_t>(slots)) % order.size()]};
+  return t.slot->second;
 }
 
 void Trials::members_changed() {
-  for (auto& [office, trial] : trials_) trial.turn.reset();
+  for (auto& [office, trial] : trials_) trial.slot.reset();
 }
 
-bool Trials::ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
-                  MemberId self) const {
+bool Trials::is_ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
+                     MemberId self) const {
   const auto trial = trials_.find(office.office.id);
   if (trial == trials_.end()) return false;
-  return now - trial->second.since >= kSoloTrialAfterSlots * kTrialSlot || whose(now, office, live) == self;
+  return now - trial->second.since >= kSoloTrialAfterSlots * kTrialSlot || holder(now, office, live) == self;
 }
 
 Time Trials::next(Time now) const {
@@ -72,8 +70,8 @@
   Hash hash;
   for (const auto& [id, trial] : trials_)
     hash.add(static_cast<std::uint64_t>(id))
-        .add(static_cast<std::uint64_t>(trial.after))
-        .since(trial.since, now);
+        .add(static_cast<std::uint64_t>(trial.start_after))
+        .add_elapsed(trial.since, now);
   return hash.value();
 }
 
--- a/src/fleet/recovery/trials.h
+++ b/src/fleet/recovery/trials.h
@@ -1,13 +1,14 @@
-// Who tries an office that is in doubt: one member at a time, the next where nothing came of it.
-//
-// Owns: since when each office is on trial. Must never: need a word from anybody to go on.
+// Which member tries an office that is in doubt: one at a time, the next if the trial had no outcome.
 //
 // The order is a rendezvous hash (Thaler, Ravishankar 1998) over the live members: the higher
-// mix(member, office) first. It begins after the member that saw it down last, if that one is live. Each has
-// kTrialSlot to publish an outcome (a fact of kind office); what ends the trial is the verdict. In a
-// partition each side has its own turn. Whoever does not doubt the office does not try it, and nobody says of
-// each office whether it doubts it; so where kSoloTrialAfterSlots turns have brought no outcome, whoever is
-// in doubt tries it by itself, until there is one. Threads: none. Equal inputs give equal outputs.
+// mix(member, office) first. It begins after the member that last observed the office down, if that one is
+// live. Each member has a slot of kTrialSlot to publish an outcome (a fact of kind office); the trial ends
+// with the verdict. In a partition each side has its own slots. A member that does not doubt the office does
+// not try it, and members do not publish which offices they doubt; so once kSoloTrialAfterSlots slots have
+// passed without an outcome, a member in doubt tries the office regardless of the slot until there is one.
+// Progress thus never depends on another member.
+//
+// Not synchronised. Equal inputs give equal outputs.
 #pragma once
 
 #include <map>
@@ -21,15 +22,15 @@
 namespace reeltack::fleet::recovery {
 
 inline constexpr Duration kTrialSlot = std::chrono::milliseconds(300);
-// 2.4 s: a turn's try has an outcome, or a sight of silence, well before.
+// 2.4 s: a trial has an outcome, which may be an observed silence, well before that.
 inline constexpr int kSoloTrialAfterSlots = 8;
 
-// The live members in the office's order.
+// The live members in the order in which they try the office.
 std::vector<MemberId> trial_order(ServerId office, const std::set<MemberId>& live);
-// Of the first `most` in the order of those that count. Ends with the first `most` others that it finds
-// before itself, so that of many members few are looked at.
+// Whether `self` is among the first `max` in the office's order of those members that count. Stops at the
+// first `max` others found before `self`, so that few of many members are examined.
 template <class Counts>
-bool among_first(MemberId self, ServerId office, const std::set<MemberId>& live, std::size_t most,
+bool among_first(MemberId self, ServerId office, const std::set<MemberId>& live, std::size_t max,
                  Counts counts) {
   const auto weight = [&](MemberId m) {
     return std::pair(mix(static_cast<std::uint64_t>(m), static_cast<std::uint64_t>(office)), m);
@@ -37,30 +38,31 @@
   const auto own = weight(self);
   std::size_t before = 0;
   for (const MemberId m : live)
-    if (weight(m) > own && counts(m) && ++before >= most) return false;
+    if (weight(m) > own && counts(m) && ++before >= max) return false;
   return true;
 }
 
 class Trials {
  public:
-  // What is on trial now; what is not any more is forgotten.
-  void told(Time now, const std::vector<OfficeAssessment>& offices, bool begun);
-  // `live` as at the last members_changed().
-  [[nodiscard]] MemberId whose(Time now, const OfficeAssessment& office,
-                               const std::set<MemberId>& live) const;
-  [[nodiscard]] bool ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
-                          MemberId self) const;
+  // Replaces the set of offices on trial; the slots of those already on trial continue. None is on trial
+  // before `started`.
+  void update(Time now, const std::vector<OfficeAssessment>& offices, bool started);
+  // The member that holds the slot now. `live` is the set at the last members_changed().
+  [[nodiscard]] MemberId holder(Time now, const OfficeAssessment& office,
+                                const std::set<MemberId>& live) const;
+  [[nodiscard]] bool is_ours(Time now, const OfficeAssessment& office, const std::set<MemberId>& live,
+                             MemberId self) const;
   void members_changed();
-  [[nodiscard]] Time next(Time now) const;  // when the turn passes on
+  [[nodiscard]] Time next(Time now) const;  // when the slot passes to the next member
   [[nodiscard]] std::uint64_t fingerprint(Time now) const;
 
  private:
   struct Trial {
     Office office;
-    MemberId after{};
+    MemberId start_after{};
     Time since{};
-    // Reckoned, until the members change: of which turn, and whose it is.
-    mutable std::optional<std::pair<Duration::rep, MemberId>> turn = {};
+    // Cache, valid until the members change: number of the slot and its holder.
+    mutable std::optional<std::pair<Duration::rep, MemberId>> slot = {};
   };
   std::map<ServerId, Trial> trials_;
 };
--- a/src/fleet/recovery/values.cpp
+++ b/src/fleet/recovery/values.cpp
@@ -1,6 +1,3 @@
-// Lines of decimal numbers: written, and read with every bound held.
-//
-// Owns: nothing. Must never: throw on what it reads.
 #include "fleet/recovery/values.h"
 
 #include <algorithm>
@@ -11,9 +8,9 @@
 namespace {
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t kMostMilliseconds = 1ULL << 42U;  // 139 years
-constexpr std::uint64_t kMostThousandths = 1'000'000'000'000ULL;
-constexpr auto kLastSeen = static_cast<std::uint64_t>(OfficeState::absent);
+constexpr std::uint64_t kMaxMilliseconds = 1ULL << 42U;  // 139 years
+constexpr std::uint64_t kMaxThousandths = 1'000'000'000'000ULL;
+constexpr auto kLastState = static_cast<std::uint64_t>(OfficeState::absent);
 
 class Writer {
  public:
@@ -28,14 +25,14 @@
   }
   Writer& age(Duration age) {
     const auto ms = std::chrono::duration_cast<milliseconds>(std::max(age, Duration{})).count();
-    return add(std::min(static_cast<std::uint64_t>(ms), kMostMilliseconds));
+    return add(std::min(static_cast<std::uint64_t>(ms), kMaxMilliseconds));
   }
-  Writer& part(double value) {
-    const double most = static_cast<double>(kMostThousandths);
-    return add(static_cast<std::uint64_t>(std::clamp(std::round(value * 1000.0), 0.0, most)));
+  Writer& thousandths(double value) {
+    const double max = static_cast<double>(kMaxThousandths);
+    return add(static_cast<std::uint64_t>(std::clamp(std::round(value * 1000.0), 0.0, max)));
   }
   Writer& office(const Office& o) {
-    return add(o.start).add(o.at.address).add(o.at.port).add(o.place).part(o.capacity);
+    return add(o.start).add(o.at.address).add(o.at.port).add(o.place).thousandths(o.capacity);
   }
   [[nodiscard]] std::string take() { return std::move(text_); }
 
@@ -48,26 +45,26 @@
   explicit Reader(std::string_view text) : rest_(text) { number(1, 1); }
   [[nodiscard]] bool good() const { return good_; }
   [[nodiscard]] bool done() const { return good_ && rest_.empty(); }
-  std::uint64_t number(std::uint64_t most, std::uint64_t least = 0) {
-    const std::string_view word = next();
+  std::uint64_t number(std::uint64_t max, std::uint64_t min = 0) {
+    const std::string_view token = next();
     std::uint64_t value = 0;
-    const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
+    const auto [end, error] = std::from_chars(token.data(), token.data() + token.size(), value);
     good_ =
-        good_ && error == std::errc{} && end == word.data() + word.size() && value >= least && value <= most;
-    return good_ ? value : least;
+        good_ && error == std::errc{} && end == token.data() + token.size() && value >= min && value <= max;
+    return good_ ? value : min;
   }
-  Duration age() { return milliseconds(static_cast<std::int64_t>(number(kMostMilliseconds))); }
-  double part() { return static_cast<double>(number(kMostThousandths)) / 1000.0; }
-  bool none() {  // and passes it
+  Duration age() { return milliseconds(static_cast<std::int64_t>(number(kMaxMilliseconds))); }
+  double thousandths() { return static_cast<double>(number(kMaxThousandths)) / 1000.0; }
+  bool skip_none() {  // true if the next number is absent
     if (rest_ != "-" && !rest_.starts_with("- ")) return false;
     next();
     return true;
   }
-  OfficeState seen() { return static_cast<OfficeState>(number(kLastSeen)); }
-  std::optional<Observation> sight() {
-    if (none()) return none() ? std::nullopt : (good_ = false, std::nullopt);
-    const OfficeState what = seen();
-    return Observation{what, age()};
+  OfficeState state() { return static_cast<OfficeState>(number(kLastState)); }
+  std::optional<Observation> observation() {
+    if (skip_none()) return skip_none() ? std::nullopt : (good_ = false, std::nullopt);
+    const OfficeState found = state();
+    return Observation{found, age()};
   }
   Office office(ServerId id) {
     Office o;
@@ -76,7 +73,7 @@
     o.at.address = static_cast<std::uint32_t>(number(0xffffffffU));
     o.at.port = static_cast<std::uint16_t>(number(0xffffU));
     o.place = static_cast<std::uint32_t>(number(0xffffffffU));
-    o.capacity = part();
+    o.capacity = thousandths();
     return o;
   }
   ServerId id() { return ServerId{static_cast<std::uint32_t>(number(0xffffffffU))}; }
@@ -84,23 +81,23 @@
  private:
   std::string_view next() {
     const std::size_t end = std::min(rest_.find(' '), rest_.size());
-    const std::string_view word = rest_.substr(0, end);
+    const std::string_view token = rest_.substr(0, end);
     if (end + 1 == rest_.size()) good_ = false;  // a space at the end
     rest_.remove_prefix(std::min(end + 1, rest_.size()));
-    return word;
+    return token;
   }
   std::string_view rest_;
   bool good_ = true;
 };
 
-void add(Writer& writer, const std::optional<Observation>& sight) {
-  if (sight)
-    writer.add(static_cast<std::uint64_t>(sight->state)).age(sight->age);
+void add(Writer& writer, const std::optional<Observation>& observation) {
+  if (observation)
+    writer.add(static_cast<std::uint64_t>(observation->state)).age(observation->age);
   else
     writer.none().none();
 }
 
-void read_kept_list(const Record& record, bool other_fleet, PersistedState& kept) {
+void read_stored_list(const Record& record, bool other_fleet, PersistedState& stored) {
   Reader reader(record.value);
   const std::uint64_t epoch = reader.number(~std::uint64_t{0});
   const std::uint64_t number = reader.number(~std::uint64_t{0});
@@ -111,16 +108,17 @@
     e.office = reader.office(ServerId{});
     e.office.id = reader.id();
     e.rank = Rank::stored;
-    e.state = reader.seen();
-    const std::optional<Duration> within = reader.none() ? std::nullopt : std::optional(reader.age());
-    if (!reader.none()) e.uptime = reader.age();
-    if (within && age && *age >= Duration{} && !other_fleet) e.age = *age + *within;
+    e.state = reader.state();
+    const std::optional<Duration> age_when_stored =
+        reader.skip_none() ? std::nullopt : std::optional(reader.age());
+    if (!reader.skip_none()) e.uptime = reader.age();
+    if (age_when_stored && age && *age >= Duration{} && !other_fleet) e.age = *age + *age_when_stored;
     offices.push_back(e);
   }
-  if (!reader.done()) return;  // not a part of it is taken
-  kept.list_epoch = epoch;
-  kept.list_number = number;
-  kept.offices = std::move(offices);
+  if (!reader.done()) return;  // a torn record is ignored as a whole
+  stored.list_epoch = epoch;
+  stored.list_number = number;
+  stored.offices = std::move(offices);
 }
 
 }  // namespace
@@ -145,7 +143,7 @@
 }
 std::string write(const Rates& rates) {
   Writer writer;
-  for (const auto& [office, rate] : rates) writer.add(static_cast<std::uint64_t>(office)).part(rate);
+  for (const auto& [office, rate] : rates) writer.add(static_cast<std::uint64_t>(office)).thousandths(rate);
   return writer.take();
 }
 std::string write_stored_list(ListId list, const std::vector<Evidence>& offices) {
@@ -192,9 +190,9 @@
   Reader reader(text);
   OfficeValue v;
   v.office = reader.office(id);
-  v.observed = reader.sight();
-  v.listed = reader.sight();
-  if (!reader.none()) v.uptime = reader.age();
+  v.observed = reader.observation();
+  v.listed = reader.observation();
+  if (!reader.skip_none()) v.uptime = reader.age();
   return reader.done() ? std::optional(v) : std::nullopt;
 }
 std::optional<Rates> read_rates(std::string_view text) {
@@ -202,33 +200,33 @@
   Rates rates;
   while (reader.good() && !reader.done() && rates.size() < kMaxValueOffices) {
     const ServerId office = reader.id();
-    rates[office] = reader.part();
+    rates[office] = reader.thousandths();
   }
   return reader.done() ? std::optional(rates) : std::nullopt;
 }
 
 std::optional<PersistedState> read_stored_state(std::span<const Record> records, bool other_fleet) {
-  PersistedState kept;
-  kept.other_fleet = other_fleet;
+  PersistedState stored;
+  stored.other_fleet = other_fleet;
   bool any = false;
   for (const Record& record : records) {
     if (record.key == kListRecord) {
-      read_kept_list(record, other_fleet, kept);
+      read_stored_list(record, other_fleet, stored);
       any = true;
     } else if (record.key == kRatesRecord) {
-      kept.rates = read_rates(record.value).value_or(Rates{});
+      stored.rates = read_rates(record.value).value_or(Rates{});
     } else if (record.key == kStageRecord) {
       const std::optional<StageValue> stage = read_stage(record.value);
       if (!stage) continue;
       any = true;
-      kept.stage = stage->stage;
-      kept.agreed = stage->agreed;
-      kept.largest = stage->largest;
-      kept.served = stage->served;
-      if (record.age && *record.age >= Duration{} && !other_fleet) kept.age = record.age;
+      stored.stage = stage->stage;
+      stored.agreed = stage->agreed;
+      stored.largest = stage->largest;
+      stored.served = stage->served;
+      if (record.age && *record.age >= Duration{} && !other_fleet) stored.age = record.age;
     }
   }
-  return any ? std::optional(std::move(kept)) : std::nullopt;
+  return any ? std::optional(std::move(stored)) : std::nullopt;
 }
 
 }  // namespace reeltack::fleet::recovery
--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -1,6 +1,4 @@
-// The verdict on an office as a function of the whole set of evidence; see the header for the order.
-//
-// Owns: nothing. Must never: change what is known.
+// The verdict on an office as a function of its complete set of evidence; offices.h gives the order of rank.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -10,188 +8,199 @@
 
 namespace reeltack::fleet::recovery {
 
-double trust(std::optional<Duration> age, Duration half_life) {
+double confidence(std::optional<Duration> age, Duration half_life) {
   if (!age || *age < Duration{} || half_life <= Duration{}) return 0.0;
   return std::exp2(-static_cast<double>(age->count()) / static_cast<double>(half_life.count()));
 }
 
-Office Offices::life(const Known& known) {
-  const auto better = [](const Line& l) { return l.evidence.rank <= Rank::own; };
+Office OfficeEvidence::current_instance(const OfficeRecord& record) {
+  const auto is_direct = [](const Entry& l) { return l.evidence.rank <= Rank::own; };
   Time last = Time::min();
-  for (const Line& l : known.lines)
-    if (better(l)) last = std::max(last, of(l.as_of));
-  for (const Ended& e : known.ended) last = std::max(last, e.as_of);
-  // What the store was told after the last sight by anybody else: that sight is of the life before.
-  const auto named = [&](const Line& l) {
-    return better(l) || (l.evidence.rank == Rank::stored && of(l.as_of) > last);
+  for (const Entry& l : record.entries)
+    if (is_direct(l)) last = std::max(last, or_earliest(l.observed_at));
+  for (const EndedInstance& e : record.ended) last = std::max(last, e.observed_at);
+  // A stored instance younger than every direct observation counts: those are of an earlier instance.
+  const auto eligible = [&](const Entry& l) {
+    return is_direct(l) || (l.evidence.rank == Rank::stored && or_earliest(l.observed_at) > last);
   };
-  const bool any = !known.ended.empty() || std::any_of(known.lines.begin(), known.lines.end(), better);
+  const bool any =
+      !record.ended.empty() || std::any_of(record.entries.begin(), record.entries.end(), is_direct);
   using Order = std::tuple<std::uint64_t, int, ListId, Time, Office>;
   std::optional<Order> best;
   const auto offer = [&](const Order& order) { best = best ? std::max(*best, order) : order; };
-  for (const Line& l : known.lines)
-    if (const Evidence& e = l.evidence; !any || named(l))
-      offer({e.office.start, -static_cast<int>(e.rank), e.list, of(l.as_of), e.office});
-  for (const Ended& e : known.ended) offer({e.office.start, 0, e.list, e.as_of, e.office});
+  for (const Entry& l : record.entries)
+    if (const Evidence& e = l.evidence; !any || eligible(l))
+      offer({e.office.start, -static_cast<int>(e.rank), e.list, or_earliest(l.observed_at), e.office});
+  for (const EndedInstance& e : record.ended) offer({e.office.start, 0, e.list, e.observed_at, e.office});
   return best ? std::get<Office>(*best) : Office{};
 }
 
-Offices::Decided Offices::decide(const Known& known) const {
-  Decided decided{
-      .office = life(known), .verdict = Verdict::trial, .rank = Rank::stored, .state = OfficeState::silent};
-  for (const Line& l : known.lines)
-    if (l.evidence.rank == Rank::stored) decided.kept = std::max(decided.kept, of(l.as_of));
-  const auto decide = [&](Verdict verdict, Rank rank, OfficeState seen, const char* reason,
-                          const Line* by = nullptr) {
-    if (by != nullptr) decided.as_of = by->as_of;
+OfficeEvidence::Decision OfficeEvidence::decide(const OfficeRecord& record) const {
+  Decision decided{.office = current_instance(record),
+                   .verdict = Verdict::trial,
+                   .rank = Rank::stored,
+                   .state = OfficeState::silent};
+  for (const Entry& l : record.entries)
+    if (l.evidence.rank == Rank::stored)
+      decided.stored_at = std::max(decided.stored_at, or_earliest(l.observed_at));
+  const auto conclude = [&](Verdict verdict, Rank rank, OfficeState state, const char* reason,
+                            const Entry* by = nullptr) {
+    if (by != nullptr) decided.observed_at = by->observed_at;
     if (by != nullptr && rank != Rank::stored) decided.source = by->evidence.source;
     decided.verdict = verdict;
     decided.rank = rank;
-    decided.state = seen;
+    decided.state = state;
     decided.reason = reason;
     return decided;
   };
   const Office office = decided.office;
-  for (const Ended& e : known.ended)
+  for (const EndedInstance& e : record.ended)
     if (e.office.start == office.start && e.office.at == office.at)
-      return decide(Verdict::barred, Rank::listed, e.state, "a list calls it ended");
-  const Line* told = nullptr;
-  const Line* kept = nullptr;
-  std::vector<const Line*> ups;
-  std::vector<const Line*> downs;
-  const auto younger = [&](const Line* a, const Line* b) {
-    return b == nullptr || std::tuple(of(a->as_of), worse(a->evidence.state), a->evidence.source) >
-                               std::tuple(of(b->as_of), worse(b->evidence.state), b->evidence.source);
+      return conclude(Verdict::barred, Rank::listed, e.state, "a list reports it ended");
+  const Entry* listed = nullptr;
+  const Entry* stored = nullptr;
+  std::vector<const Entry*> ups;
+  std::vector<const Entry*> downs;
+  const auto younger = [&](const Entry* a, const Entry* b) {
+    return b == nullptr ||
+           std::tuple(or_earliest(a->observed_at), severity(a->evidence.state), a->evidence.source) >
+               std::tuple(or_earliest(b->observed_at), severity(b->evidence.state), b->evidence.source);
   };
-  for (const Line& l : known.lines) {
+  for (const Entry& l : record.entries) {
     const Evidence& e = l.evidence;
     if (e.office.start != office.start || e.office.at != office.at) continue;
-    if (const Part part = part_of(e); part == Part::eyes) {
-      (up(e.state) ? ups : downs).push_back(&l);
-    } else if (part == Part::store) {
-      if (younger(&l, kept)) kept = &l;
-    } else if (!over(e.state) &&
-               (told == nullptr || std::tuple(e.list, worse(e.state)) >
-                                       std::tuple(told->evidence.list, worse(told->evidence.state)))) {
-      told = &l;
+    if (const SourceKind kind = source_kind(e); kind == SourceKind::observation) {
+      (is_up(e.state) ? ups : downs).push_back(&l);
+    } else if (kind == SourceKind::store) {
+      if (younger(&l, stored)) stored = &l;
+    } else if (!is_ended(e.state) &&
+               (listed == nullptr ||
+                std::tuple(e.list, severity(e.state)) >
+                    std::tuple(listed->evidence.list, severity(listed->evidence.state)))) {
+      listed = &l;
     }
   }
-  if (told != nullptr)
-    return told->evidence.state == OfficeState::ready
-               ? decide(Verdict::trusted, Rank::listed, OfficeState::ready, "a live list names it", told)
-               : decide(Verdict::barred, Rank::listed, OfficeState::absent, "the list does not name it",
-                        told);
-  const auto stands = [&](const Line* answer) {
-    return std::all_of(downs.begin(), downs.end(), [&](const Line* down) {
-      const bool ranked = answer->evidence.rank <= down->evidence.rank;
-      const Duration grace = ranked ? settings_.answer_grace : Duration{};
-      return of(answer->as_of) >= of(down->as_of) - (down->as_of ? grace : Duration{});
+  if (listed != nullptr)
+    return listed->evidence.state == OfficeState::ready
+               ? conclude(Verdict::trusted, Rank::listed, OfficeState::ready,
+                          "listed as ready by a live list", listed)
+               : conclude(Verdict::barred, Rank::listed, OfficeState::absent, "not in the current list",
+                          listed);
+  const auto outweighs_downs = [&](const Entry* answer) {
+    return std::all_of(downs.begin(), downs.end(), [&](const Entry* down) {
+      const bool ranks_as_high = answer->evidence.rank <= down->evidence.rank;
+      const Duration grace = ranks_as_high ? settings_.answer_grace : Duration{};
+      return or_earliest(answer->observed_at) >=
+             or_earliest(down->observed_at) - (down->observed_at ? grace : Duration{});
     });
   };
-  const auto strong = [&](const Line* a, const Line* b) {
+  const auto stronger = [&](const Entry* a, const Entry* b) {
     if (b == nullptr || a->evidence.rank != b->evidence.rank)
       return b == nullptr || a->evidence.rank < b->evidence.rank;
     return younger(a, b);
   };
-  const Line* answer = nullptr;
-  for (const Line* l : ups)
-    if (stands(l) && strong(l, answer)) answer = l;
+  const Entry* answer = nullptr;
+  for (const Entry* l : ups)
+    if (outweighs_downs(l) && stronger(l, answer)) answer = l;
   if (answer != nullptr)
-    return decide(Verdict::trusted, answer->evidence.rank, answer->evidence.state, "seen up", answer);
-  const Line* down = nullptr;
-  for (const Line* l : downs)
+    return conclude(Verdict::trusted, answer->evidence.rank, answer->evidence.state, "observed up", answer);
+  const Entry* down = nullptr;
+  for (const Entry* l : downs)
     if (younger(l, down)) down = l;
   if (down != nullptr)
-    return decide(Verdict::trial, down->evidence.rank, down->evidence.state, "it refused or was silent",
-                  down);
-  if (kept == nullptr)
-    return decide(Verdict::trial, Rank::stored, OfficeState::silent, "of this life nothing is known");
-  const OfficeState seen = kept->evidence.state;
-  if (!up(seen) && seen != OfficeState::refused && seen != OfficeState::silent)
-    return decide(Verdict::barred, Rank::stored, seen, "kept as ended", kept);
-  decided.ages = true;
-  return decide(Verdict::trial, Rank::stored, seen, "kept too long ago, or as down", kept);
+    return conclude(Verdict::trial, down->evidence.rank, down->evidence.state, "refused or silent", down);
+  if (stored == nullptr)
+    return conclude(Verdict::trial, Rank::stored, OfficeState::silent, "no evidence about this instance");
+  const OfficeState state = stored->evidence.state;
+  if (!is_up(state) && state != OfficeState::refused && state != OfficeState::silent)
+    return conclude(Verdict::barred, Rank::stored, state, "stored as ended", stored);
+  decided.decays = true;
+  return conclude(Verdict::trial, Rank::stored, state, "stored too long ago, or as down", stored);
 }
 
-OfficeAssessment Offices::judge(Time now, const Known& known) const {
-  if (!known.decided) known.decided = decide(known);
-  const Decided& d = *known.decided;
-  OfficeAssessment judged{.office = d.office, .verdict = d.verdict, .rank = d.rank, .state = d.state};
-  judged.reason = d.reason;
-  judged.source = d.source;
-  if (d.as_of) judged.age = now - *d.as_of;
-  if (d.ages) {
-    judged.trust = up(d.state) ? std::min(trust(judged.age, settings_.half_life_state), 1.0) : 0.0;
-    const bool listed = trust(judged.age, settings_.half_life_list) >= settings_.trust_threshold;
-    if (listed && judged.trust >= settings_.trust_threshold) {
-      judged.verdict = Verdict::trusted;
-      judged.reason = "kept as up not long ago";
+OfficeAssessment OfficeEvidence::assess(Time now, const OfficeRecord& record) const {
+  if (!record.decision) record.decision = decide(record);
+  const Decision& d = *record.decision;
+  OfficeAssessment assessment{.office = d.office, .verdict = d.verdict, .rank = d.rank, .state = d.state};
+  assessment.reason = d.reason;
+  assessment.source = d.source;
+  if (d.observed_at) assessment.age = now - *d.observed_at;
+  if (d.decays) {
+    assessment.confidence =
+        is_up(d.state) ? std::min(confidence(assessment.age, settings_.half_life_state), 1.0) : 0.0;
+    const bool listed = confidence(assessment.age, settings_.half_life_list) >= settings_.trust_threshold;
+    if (listed && assessment.confidence >= settings_.trust_threshold) {
+      assessment.verdict = Verdict::trusted;
+      assessment.reason = "stored as up recently";
     }
   }
-  warmth(now, known, d.kept, judged);
-  return judged;
+  assess_warmth(now, record, d.stored_at, assessment);
+  return assessment;
 }
 
-void Offices::warmth(Time now, const Known& known, Time kept, OfficeAssessment& judged) const {
-  const bool named = judged.office.start == known.first_start && known.first;
-  if (named)
-    judged.uptime = std::max(now - std::min(*known.first, known.born.value_or(*known.first)), Duration{});
+void OfficeEvidence::assess_warmth(Time now, const OfficeRecord& record, Time stored_at,
+                                   OfficeAssessment& assessment) const {
+  const bool is_newest = assessment.office.start == record.newest_start && record.first_observed_at;
+  if (is_newest)
+    assessment.uptime = std::max(
+        now - std::min(*record.first_observed_at, record.started_at.value_or(*record.first_observed_at)),
+        Duration{});
   if (settings_.ramp <= Duration{}) return;
-  if (judged.rank == Rank::stored) {
-    const auto age = kept == Time::min() ? std::nullopt : std::optional(now - kept);
-    judged.cold = trust(age, settings_.half_life_warm) < settings_.trust_threshold;
-    if (judged.cold) judged.uptime = {};
-    if (judged.cold || !named) return;
+  if (assessment.rank == Rank::stored) {
+    const auto age = stored_at == Time::min() ? std::nullopt : std::optional(now - stored_at);
+    assessment.cold = confidence(age, settings_.half_life_warm) < settings_.trust_threshold;
+    if (assessment.cold) assessment.uptime = {};
+    if (assessment.cold || !is_newest) return;
   }
-  const bool began = known.born || known.oldest_start < judged.office.start;
-  judged.cold = began && judged.uptime < settings_.ramp;
+  const bool start_known = record.started_at || record.oldest_start < assessment.office.start;
+  assessment.cold = start_known && assessment.uptime < settings_.ramp;
 }
 
-OfficeAssessment Offices::judge(Time now, ServerId office) const {
-  const auto at = known_.find(office);
-  if (at != known_.end()) return judge(now, at->second);
+OfficeAssessment OfficeEvidence::assess(Time now, ServerId office) const {
+  const auto at = offices_.find(office);
+  if (at != offices_.end()) return assess(now, at->second);
   OfficeAssessment none;
   none.office.id = office;
   none.rank = Rank::stored;
-  none.reason = "never heard of";
+  none.reason = "unknown office";
   return none;
 }
-std::vector<OfficeAssessment> Offices::all(Time now) const {
+std::vector<OfficeAssessment> OfficeEvidence::assess_all(Time now) const {
   std::vector<OfficeAssessment> all;
-  all.reserve(known_.size());
-  for (const auto& [id, known] : known_) all.push_back(judge(now, known));
+  all.reserve(offices_.size());
+  for (const auto& [id, record] : offices_) all.push_back(assess(now, record));
   return all;
 }
 
-Time Offices::next(Time now) const {
+Time OfficeEvidence::next(Time now) const {
   Time next = Time::max();
-  for (const auto& [id, known] : known_) {
-    if (!known.next || *known.next <= now) known.next = this->next(now, known);
-    next = std::min(next, *known.next);
+  for (const auto& [id, record] : offices_) {
+    if (!record.next_change || *record.next_change <= now) record.next_change = this->next(now, record);
+    next = std::min(next, *record.next_change);
   }
   return next;
 }
 
-// Every moment at which an age passes a bound of the verdict or of the warmth.
-Time Offices::next(Time now, const Known& known) const {
+// The next moment at which an age passes a bound of the verdict or of the warmth.
+Time OfficeEvidence::next(Time now, const OfficeRecord& record) const {
   Time next = Time::max();
   const auto offer = [&](Time at) {
     if (at > now) next = std::min(next, at);
   };
-  const double halves = -std::log2(std::clamp(settings_.trust_threshold, 1.0e-9, 1.0));
-  const auto after = [&](Duration half_life) {
-    return Duration(static_cast<Duration::rep>(halves * static_cast<double>(half_life.count()))) +
+  const double half_lives = -std::log2(std::clamp(settings_.trust_threshold, 1.0e-9, 1.0));
+  const auto expiry = [&](Duration half_life) {
+    return Duration(static_cast<Duration::rep>(half_lives * static_cast<double>(half_life.count()))) +
            Duration(1);
   };
-  for (const Line& l : known.lines) {
-    if (!l.as_of || part_of(l.evidence) != Part::store) continue;
-    for (const Duration half :
+  for (const Entry& l : record.entries) {
+    if (!l.observed_at || source_kind(l.evidence) != SourceKind::store) continue;
+    for (const Duration half_life :
          {settings_.half_life_state, settings_.half_life_list, settings_.half_life_warm})
-      offer(*l.as_of + after(half));
+      offer(*l.observed_at + expiry(half_life));
   }
   if (settings_.ramp <= Duration{}) return next;
-  if (known.first) offer(*known.first + settings_.ramp);
-  if (known.born) offer(*known.born + settings_.ramp);
+  if (record.first_observed_at) offer(*record.first_observed_at + settings_.ramp);
+  if (record.started_at) offer(*record.started_at + settings_.ramp);
   return next;
 }
 
--- a/tests/fleet/governed_list_test.cpp
+++ b/tests/fleet/governed_list_test.cpp
@@ -1,5 +1,5 @@
-// The list of offices under a governor: what the platform calls draining or gone passes at once and stays so,
-// what it calls ready waits for the governor's word.
+// The list of offices with an arbiter: an office that the platform reports as draining or gone passes at once
+// and permanently, one that it reports as ready waits for the arbiter's decision.
 #include <gtest/gtest.h>
 
 #include "core/office_list.h"
@@ -18,8 +18,8 @@
   return out;
 }
 
-// Takes down what the senders' side is told, which is before the core hears of it.
-class Told final : public OfficeBackend {
+// Records the lists passed to the back end, which receives them before the core does.
+class RecordingBackend final : public OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<OfficeEntry>& offices) override {
     for (const OfficeEntry& o : offices) state[o.entry.server] = o.entry.state;
@@ -32,109 +32,110 @@
   std::map<ServerId, ServerState> state;
   int times = 0;
 };
-class Heard final : public ListArbiter {
+class RecordingArbiter final : public ListArbiter {
  public:
   void listed(bool live, bool complete, const std::vector<OfficeEntry>& offices) override {
-    wholes += complete ? 1 : 0;
-    lives += live ? 1 : 0;
+    complete_lists += complete ? 1 : 0;
+    live_lists += live ? 1 : 0;
     for (const OfficeEntry& o : offices) state[o.entry.server] = o.entry.state;
   }
   void silent() override { ++silences; }
   void restarted() override { ++restarts; }
   std::map<ServerId, ServerState> state;
-  int wholes = 0, lives = 0, silences = 0, restarts = 0;
+  int complete_lists = 0, live_lists = 0, silences = 0, restarts = 0;
 };
 
-class Governed : public ::testing::Test {
+class ArbitratedList : public ::testing::Test {
  protected:
-  Governed() {
-    list.set_list_arbiter(heard);
-    core.start(told);
+  ArbitratedList() {
+    list.set_list_arbiter(arbiter);
+    core.start(backend);
   }
-  ~Governed() override { core.stop(); }
+  ~ArbitratedList() override { core.stop(); }
   Core core{Settings{}, 1};
-  Told told;
-  Heard heard;
+  RecordingBackend backend;
+  RecordingArbiter arbiter;
   OfficeList list{core};
 };
 
-TEST_F(Governed, ReadyWaitsForTheGovernorAndTheRestPassesAtOnce) {
+TEST_F(ArbitratedList, ReadyWaitsForTheArbiterAndTheRestPassesAtOnce) {
   list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
-  EXPECT_FALSE(told.state.contains(ServerId{1}));
-  EXPECT_EQ(told.state.at(ServerId{2}), ServerState::draining);
-  EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);
-  EXPECT_EQ(heard.wholes, 1);
+  EXPECT_FALSE(backend.state.contains(ServerId{1}));
+  EXPECT_EQ(backend.state.at(ServerId{2}), ServerState::draining);
+  EXPECT_EQ(arbiter.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(arbiter.complete_lists, 1);
   list.settled({office(1, ServerState::ready)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
-TEST_F(Governed, WhatTheGovernorDecidedBeforeItHeardRevivesNothing) {
+TEST_F(ArbitratedList, AnArbiterDecisionThatCrossedALaterReportRevivesNothing) {
   list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
   list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
   list.told(Source::platform, false, {office(1, ServerState::draining), office(2, ServerState::gone)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready), office(2, ServerState::draining)});  // it crossed
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
-  EXPECT_EQ(told.state.at(ServerId{2}), ServerState::gone);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
+  list.settled({office(1, ServerState::ready), office(2, ServerState::draining)});  // crossed the report
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
+  EXPECT_EQ(backend.state.at(ServerId{2}), ServerState::gone);
 }
 
-TEST_F(Governed, ANewerStartRevives) {
+TEST_F(ArbitratedList, ANewerStartRevives) {
   list.told(Source::platform, false, {office(1, ServerState::gone, 1000)});
   list.settled({office(1, ServerState::ready, 1000)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::gone);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::gone);
   list.settled({office(1, ServerState::ready, 2000)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
-TEST_F(Governed, WhatAWholeListLeavesOutIsTheGovernorsToSay) {
+TEST_F(ArbitratedList, TheArbiterDecidesOnOfficesThatACompleteListOmits) {
   list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
   list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
   list.told(Source::platform, true, {office(2, ServerState::ready)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
-  EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);  // it is told of two alone, by a whole list
-  EXPECT_EQ(heard.wholes, 2);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(arbiter.state.at(ServerId{1}),
+            ServerState::ready);  // it received only office 2, in a complete list
+  EXPECT_EQ(arbiter.complete_lists, 2);
   list.settled({office(1, ServerState::draining)});
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready)});  // another's list has won
-  EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
+  list.settled({office(1, ServerState::ready)});  // another member's list has won
+  EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
-TEST_F(Governed, OnceItIsFollowedAllThatWasNamedIsToldAsLive) {
+TEST_F(ArbitratedList, AllListedOfficesArePassedAsLiveOnceTheSourceIsFollowed) {
   list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
-  EXPECT_EQ(heard.lives, 0);
-  heard.state.clear();
+  EXPECT_EQ(arbiter.live_lists, 0);
+  arbiter.state.clear();
   list.live(true);
   list.live(true);
-  EXPECT_EQ(heard.lives, 1);
-  EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);
-  EXPECT_EQ(heard.state.at(ServerId{2}), ServerState::draining);
+  EXPECT_EQ(arbiter.live_lists, 1);
+  EXPECT_EQ(arbiter.state.at(ServerId{1}), ServerState::ready);
+  EXPECT_EQ(arbiter.state.at(ServerId{2}), ServerState::draining);
   list.live(false);
-  EXPECT_EQ(heard.silences, 1);
+  EXPECT_EQ(arbiter.silences, 1);
 }
 
-TEST_F(Governed, ASourceThatBeginsAnewIsFollowedOnceItHasCaughtUpWithoutWhatItNamesNoLonger) {
+TEST_F(ArbitratedList, ARestartedSourceIsFollowedOnceCaughtUpWithoutOfficesItNoLongerLists) {
   list.told(Source::platform, true,
             {office(1, ServerState::ready), office(2, ServerState::ready), office(3, ServerState::ready)});
   list.live(true);
   list.restarted();
   list.live(false);
-  heard.state.clear();
+  arbiter.state.clear();
   list.told(Source::platform, true, {office(1, ServerState::ready)});
-  list.live(true);  // by a frame; there may be more
-  EXPECT_EQ(heard.lives, 1);
-  EXPECT_EQ(heard.state.count(ServerId{2}), 0U) << "not told yet, so not called gone";
+  list.live(true);  // after one frame; more may follow
+  EXPECT_EQ(arbiter.live_lists, 1);
+  EXPECT_EQ(arbiter.state.count(ServerId{2}), 0U) << "not received yet, so not reported as gone";
   list.told(Source::platform, false, {office(2, ServerState::ready)});
   list.caught_up();
-  EXPECT_EQ(heard.lives, 2);
-  EXPECT_EQ(heard.restarts, 1);
-  EXPECT_EQ(heard.state.size(), 2U);
-  EXPECT_EQ(heard.state.at(ServerId{2}), ServerState::ready);
+  EXPECT_EQ(arbiter.live_lists, 2);
+  EXPECT_EQ(arbiter.restarts, 1);
+  EXPECT_EQ(arbiter.state.size(), 2U);
+  EXPECT_EQ(arbiter.state.at(ServerId{2}), ServerState::ready);
 }
 
-TEST_F(Governed, OtherSourcesPassAsBefore) {
+TEST_F(ArbitratedList, OtherSourcesPassUnchanged) {
   list.told(Source::registered, false, {office(7, ServerState::ready)});
-  EXPECT_EQ(told.state.at(ServerId{7}), ServerState::ready);
-  EXPECT_TRUE(heard.state.empty());
+  EXPECT_EQ(backend.state.at(ServerId{7}), ServerState::ready);
+  EXPECT_TRUE(arbiter.state.empty());
 }
 
 }  // namespace
--- a/tests/fleet/kept_stage_test.cpp
+++ b/tests/fleet/kept_stage_test.cpp
@@ -1,4 +1,5 @@
-// The age of what an earlier life has kept: by the boot's clock, whatever the wall clock says.
+// The age of a stage stored by an earlier run of the process: measured by the boot clock, independent of the
+// wall clock.
 #include <gtest/gtest.h>
 
 #include "base/boot_clock.h"
@@ -11,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Keeping, WhatOneLifeHasKeptIsOfKnownAgeInTheNext) {
+TEST(Keeping, AStageStoredByOneRunHasAKnownAgeInTheNext) {
   Disk disk;
   const clocks::BootTime before = base::boot_now();
   {
@@ -26,44 +27,45 @@
   EXPECT_LE(*keeping->kept()->age, clocks::elapsed(before, base::boot_now()));
 }
 
-// The age of what is kept, with the wall clock right or stepped by an hour while the controller was off.
-class KeptStage : public ::testing::TestWithParam<std::chrono::seconds> {
+// The age of the stored stage, with the wall clock correct or stepped by up to an hour while the controller
+// was off.
+class StoredStage : public ::testing::TestWithParam<std::chrono::seconds> {
  protected:
   [[nodiscard]] std::optional<Duration> age(const clocks::BootTime& written) const {
     Disk disk;
     disk.leave_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
-                     base::wall_now() - kOld - GetParam(), written);
+                     base::wall_now() - kAge - GetParam(), written);
     const auto keeping = disk.start();
     EXPECT_TRUE(keeping->kept());
     return keeping->kept() ? keeping->kept()->age : std::nullopt;
   }
-  static constexpr Duration kOld = 10min;
+  static constexpr Duration kAge = 10min;
 };
 
-TEST_P(KeptStage, OfThisBootIsAsOldAsItIsWhateverTheWallClockSays) {
+TEST_P(StoredStage, OfThisBootHasItsTrueAge) {
   clocks::BootTime written = base::boot_now();
   ASSERT_NE(written.boot, clocks::BootId{});
-  written.since_boot -= kOld;
+  written.since_boot -= kAge;
   const std::optional<Duration> found = age(written);
   ASSERT_TRUE(found);
-  EXPECT_GE(*found, kOld);
+  EXPECT_GE(*found, kAge);
   EXPECT_LE(*found, base::boot_now().since_boot - written.since_boot);
 }
 
-TEST_P(KeptStage, OfAnotherBootOrNoneIsOfUnknownAge) {
+TEST_P(StoredStage, OfAnotherBootOrNoneHasUnknownAge) {
   clocks::BootTime written = base::boot_now();
-  EXPECT_FALSE(age({{}, written.since_boot - kOld})) << "an older program's record";
+  EXPECT_FALSE(age({{}, written.since_boot - kAge})) << "a record of an older version";
   written.boot[0] ^= 1U;
-  EXPECT_FALSE(age(written)) << "the machine has booted since, or the disk was moved";
+  EXPECT_FALSE(age(written)) << "the machine has rebooted since, or the disk was moved";
 }
 
-TEST_P(KeptStage, FromTheFutureOfThisBootIsOfUnknownAge) {
+TEST_P(StoredStage, FromTheFutureOfThisBootHasUnknownAge) {
   clocks::BootTime written = base::boot_now();
   written.since_boot += 1h;
   EXPECT_FALSE(age(written));
 }
 
-INSTANTIATE_TEST_SUITE_P(WallClock, KeptStage, ::testing::Values(-3600s, -600s, -595s, 0s, 3600s),
+INSTANTIATE_TEST_SUITE_P(WallClock, StoredStage, ::testing::Values(-3600s, -600s, -595s, 0s, 3600s),
                          [](const auto& stepped) {
                            return (stepped.param < 0s ? "back_" : "ahead_") +
                                   std::to_string(std::abs(stepped.param.count())) + "_s";
--- a/tests/fleet/list_epochs_test.cpp
+++ b/tests/fleet/list_epochs_test.cpp
@@ -1,4 +1,4 @@
-// Lists of a bulletin that has begun anew: which epoch they are of, and whose list counts among members.
+// Lists of a bulletin that has restarted: to which epoch they belong, and which member's list counts.
 #include <gtest/gtest.h>
 
 #include "fleet/recovery/epochs.h"
@@ -7,99 +7,99 @@
 namespace reeltack::fleet::recovery {
 namespace {
 
-constexpr std::uint64_t kMost = ~std::uint64_t{0};
+constexpr std::uint64_t kMaxEpoch = ~std::uint64_t{0};
 
-TEST(ListEpochs, AReplayAfterAnOrdinaryRestartIsNoNewEpochAndAPowerLossOfTheBulletinIs) {
-  for (const std::uint64_t told : {900U, 901U, 899U, 1U}) {
+TEST(ListEpochs, APowerLossOfTheBulletinIsANewEpochAndAReplayIsNot) {
+  for (const std::uint64_t number : {900U, 901U, 899U, 1U}) {
     ListEpochs epochs;
     epochs.restore(3, 900);
-    EXPECT_EQ(epochs.told(1, 0), 3U);
-    EXPECT_EQ(epochs.number(), 900U) << "killed within the replay it would forget the number";
-    EXPECT_EQ(epochs.told(told, 0), 3U);
-    EXPECT_EQ(epochs.caught_up(), told < 900 ? 4U : 3U) << told;
-    EXPECT_EQ(epochs.number(), told);
-    EXPECT_EQ(epochs.caught_up(), epochs.epoch()) << "held against what was kept once";
-    EXPECT_EQ(epochs.told(1, 2), told < 900 ? 5U : 4U) << "two restarts unseen are one";
+    EXPECT_EQ(epochs.update(1, 0), 3U);
+    EXPECT_EQ(epochs.number(), 900U) << "a crash during the replay must not lose the number";
+    EXPECT_EQ(epochs.update(number, 0), 3U);
+    EXPECT_EQ(epochs.caught_up(), number < 900 ? 4U : 3U) << number;
+    EXPECT_EQ(epochs.number(), number);
+    EXPECT_EQ(epochs.caught_up(), epochs.epoch()) << "compared with the stored number only once";
+    EXPECT_EQ(epochs.update(1, 2), number < 900 ? 5U : 4U) << "two missed restarts count as one";
     epochs.check();
   }
   ListEpochs last;
-  last.restore(kMost, 9);
-  EXPECT_EQ(last.told(1, 1), kMost) << "it does not begin at 0 again";
+  last.restore(kMaxEpoch, 9);
+  EXPECT_EQ(last.update(1, 1), kMaxEpoch) << "it does not wrap to 0";
 }
 
-TEST(ListEpochs, OnlyTheVerySameListGivesItsEpochAndNotAnyHowFar) {
+TEST(ListEpochs, AnEpochIsAdoptedOnlyFromTheSameListWithinTheMaximumLead) {
   const ListId own{0, 7, 42};
-  const auto taken = [&](ListId peer) {
+  const auto adopted = [&](ListId peer) {
     ListEpochs epochs;
-    epochs.told(own.number, 0);
-    const bool took = epochs.take(own, peer);
-    EXPECT_EQ(epochs.epoch(), took ? peer.epoch : 0U);
-    return took;
+    epochs.update(own.number, 0);
+    const bool result = epochs.adopt(own, peer);
+    EXPECT_EQ(epochs.epoch(), result ? peer.epoch : 0U);
+    return result;
   };
-  EXPECT_TRUE(taken({4, 7, 42}));
-  EXPECT_FALSE(taken({4, 7, 43}));
-  EXPECT_FALSE(taken({4, 8, 42}));
-  EXPECT_FALSE(taken({0, 7, 42}));
-  EXPECT_TRUE(taken({ListEpochs::kMaxEpochLead, 7, 42}));
-  EXPECT_FALSE(taken({ListEpochs::kMaxEpochLead + 1, 7, 42}));
-  EXPECT_FALSE(taken({kMost, 7, 42}));
+  EXPECT_TRUE(adopted({4, 7, 42}));
+  EXPECT_FALSE(adopted({4, 7, 43}));
+  EXPECT_FALSE(adopted({4, 8, 42}));
+  EXPECT_FALSE(adopted({0, 7, 42}));
+  EXPECT_TRUE(adopted({ListEpochs::kMaxEpochLead, 7, 42}));
+  EXPECT_FALSE(adopted({ListEpochs::kMaxEpochLead + 1, 7, 42}));
+  EXPECT_FALSE(adopted({kMaxEpoch, 7, 42}));
 }
 
-// The bulletin begins anew without an office; one member still follows its last life, with a higher number.
-TEST(ListEpochs, AListOfALastLifeIsOutrankedAndANewcomerIsOfTheNewOne) {
+// The bulletin restarts without an office; one member still follows its previous run, with a higher number.
+TEST(ListEpochs, AListOfThePreviousRunIsOutrankedAndANewcomerAdoptsTheNewEpoch) {
   TestFleet fleet(4);
   fleet.settle();
   const auto usable = [&](std::size_t i) {
     return fleet.members[i].terms->offices[2].verdict == Verdict::trusted;
   };
-  for (std::size_t i = 0; i < 4; ++i) fleet.tell_list(i, 40);
+  for (std::size_t i = 0; i < 4; ++i) fleet.deliver_list(i, 40);
   fleet.run(1s, false);
   const ServerId removed{2};
-  const auto kept = fleet.truth.extract(removed);
+  const auto office = fleet.truth.extract(removed);
   for (std::size_t i = 0; i < 3; ++i) {
-    ListReceived heard = fleet.list(2);
-    heard.restarts = 1;
-    fleet.give(i, heard);
-    fleet.give(i, ListCaughtUp{});
+    ListReceived received = fleet.list(2);
+    received.restarts = 1;
+    fleet.deliver(i, received);
+    fleet.deliver(i, ListCaughtUp{});
   }
   fleet.run(1s, false);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_FALSE(usable(i)) << i;
-  // An emptied disk: it follows the new list, and knows of no epoch but by the others.
+  // With an emptied disk the member follows the new list and learns the epoch only from the others.
   fleet.kill(2);
   fleet.members[2].store.clear();
   fleet.start(2);
-  fleet.tell_list(2, 2);
-  fleet.give(2, ListCaughtUp{});
+  fleet.deliver_list(2, 2);
+  fleet.deliver(2, ListCaughtUp{});
   fleet.run(1s, false);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_FALSE(usable(i)) << i;
-  const auto said = read_list(fleet.members[2].facts.at({facts::Kind::list, 0}).first);
-  ASSERT_TRUE(said);
-  EXPECT_EQ(said->id.epoch, 1U);
-  // It is on the list again: by the new life's word alone.
-  fleet.truth.insert({kept.key(), kept.mapped()});
-  fleet.tell_list(2, 3);
+  const auto published = read_list(fleet.members[2].facts.at({facts::Kind::list, 0}).first);
+  ASSERT_TRUE(published);
+  EXPECT_EQ(published->id.epoch, 1U);
+  // The office is listed again, which only the new run can report.
+  fleet.truth.insert({office.key(), office.mapped()});
+  fleet.deliver_list(2, 3);
   fleet.run(1s, false);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_TRUE(usable(i)) << i;
 }
 
-// All power was lost, the bulletin's too: what is kept names the number of its last life.
-TEST(ListEpochs, AFleetThatReturnsWithItsBulletinFollowsTheNewLife) {
+// All power was lost, including the bulletin's: the stored number is from the bulletin's previous run.
+TEST(ListEpochs, AFleetThatReturnsWithItsBulletinFollowsTheNewRun) {
   TestFleet fleet(4);
   fleet.settle();
-  for (std::size_t i = 0; i < 4; ++i) fleet.tell_list(i, 900);
+  for (std::size_t i = 0; i < 4; ++i) fleet.deliver_list(i, 900);
   fleet.run(20s, false);
   for (std::size_t i = 0; i < 4; ++i) fleet.kill(i);
   fleet.now += 30s;
   for (std::size_t i = 0; i < 4; ++i) fleet.start(i);
   for (std::size_t i = 0; i < 4; ++i) {
-    fleet.tell_list(i, 2);
-    if (i != 0) fleet.give(i, ListCaughtUp{});
+    fleet.deliver_list(i, 2);
+    if (i != 0) fleet.deliver(i, ListCaughtUp{});
   }
   fleet.run(1s);
   for (std::size_t i = 0; i < 4; ++i) {
-    const auto said = read_list(fleet.members[i].facts.at({facts::Kind::list, 0}).first);
-    ASSERT_TRUE(said);
-    EXPECT_EQ(said->id.epoch, 1U) << i << ": the first takes it of the others";
+    const auto published = read_list(fleet.members[i].facts.at({facts::Kind::list, 0}).first);
+    ASSERT_TRUE(published);
+    EXPECT_EQ(published->id.epoch, 1U) << i << ": the first member adopts it from the others";
   }
 }
 
--- a/tests/fleet/lists.h
+++ b/tests/fleet/lists.h
@@ -1,8 +1,7 @@
-// Bulletins that a test tells by hand: several lists of offices that need not say the same.
+// Bulletins whose lists of offices a test sets by hand, served by a thread of their own. The lists may differ
+// from each other and from the true state of the offices.
 //
-// Owns: the bulletins and the thread that serves them. Must never: know what is true of the offices.
-//
-// Each event of a list has the next number from 1. Calls from any thread; each has been told when it returns.
+// The events of a list are numbered from 1. Thread-safe; an event has been published when its call returns.
 #pragma once
 
 #include <future>
@@ -28,12 +27,12 @@
   Lists(const Lists&) = delete;
   Lists& operator=(const Lists&) = delete;
 
-  // `anew`: the bulletin has begun anew, and this is its first event.
-  void tell(std::size_t list, const Entries& whole, bool anew = false) {
+  // With `restarted` the bulletin restarts first, and this is its first event.
+  void tell(std::size_t list, const Entries& offices, bool restarted = false) {
     std::promise<void> done;
     boost::asio::post(io_, [&] {
-      if (anew) lists_.at(list)->restart();
-      lists_.at(list)->publish(true, whole);
+      if (restarted) lists_.at(list)->restart();
+      lists_.at(list)->publish(true, offices);
       done.set_value();
     });
     done.get_future().wait();
--- a/tests/fleet/model_controllers.cpp
+++ b/tests/fleet/model_controllers.cpp
@@ -1,6 +1,4 @@
-// What happens at one controller of the model: starts, what is told to it, what it says, its calls.
-//
-// Owns: nothing beyond its class. Must never: decide what recovery decides.
+// One controller of the model: its starts, the events it receives, the actions it emits, its calls.
 #include <algorithm>
 
 #include "model_world.h"
@@ -9,27 +7,27 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr ServerId kCold{0};
-constexpr ServerId kOver{1};
+constexpr ServerId kEnded{1};
 
 MemberId name(std::size_t i) { return MemberId{1000 + i}; }
-bool over(OfficeState seen) { return seen == OfficeState::draining || seen == OfficeState::gone; }
+bool is_ended(OfficeState state) { return state == OfficeState::draining || state == OfficeState::gone; }
 bool usable(const Terms::Line& line) { return line.verdict == Verdict::trusted || line.ours; }
 }  // namespace
 
-void ModelWorld::give(std::size_t i, const Event& event) {
+void ModelWorld::deliver(std::size_t i, const Event& event) {
   if (!controllers_[i].recovery) return;
   Actions actions;
   controllers_[i].recovery->on(now_, event, actions);
-  done(i, actions);
+  apply_actions(i, actions);
 }
 
-void ModelWorld::done(std::size_t i, const Actions& actions) {
+void ModelWorld::apply_actions(std::size_t i, const Actions& actions) {
   Controller& c = controllers_[i];
   for (const Action& action : actions) {
     if (const auto* terms = std::get_if<Terms>(&action)) {
       c.terms = *terms;
-    } else if (const auto* keep = std::get_if<Persist>(&action)) {
-      c.store[keep->key] = {keep->value, now_};
+    } else if (const auto* persist = std::get_if<Persist>(&action)) {
+      c.store[persist->key] = {persist->value, now_};
     } else if (const auto* publish = std::get_if<Publish>(&action)) {
       if (publish->value)
         c.facts[publish->key] = {*publish->value, now_};
@@ -48,22 +46,22 @@
   c.start_at = Time::max();
   std::vector<Record> records;
   for (const auto& [key, value] : c.store) records.push_back({key, value.first, now_ - value.second});
-  std::optional<PersistedState> kept = read_stored_state(records, false);
-  c.kept_ready = false;
-  c.alone = !kept || std::max(kept->agreed, kept->largest) <= 1;
-  if (kept) {
-    for (const Evidence& e : kept->offices) c.kept_ready |= e.office.id == kOver && !over(e.state);
-    std::size_t seen = 0;
-    for (std::size_t j = 0; j < kControllers; ++j) seen += linked(i, j) ? 1 : 0;
-    if (faults_.visible_size) kept->agreed = kept->largest = seen;
+  std::optional<PersistedState> stored = read_stored_state(records, false);
+  c.stored_up = false;
+  c.alone = !stored || std::max(stored->agreed, stored->largest) <= 1;
+  if (stored) {
+    for (const Evidence& e : stored->offices) c.stored_up |= e.office.id == kEnded && !is_ended(e.state);
+    std::size_t visible = 0;
+    for (std::size_t j = 0; j < kControllers; ++j) visible += linked(i, j) ? 1 : 0;
+    if (faults_.visible_size) stored->agreed = stored->largest = visible;
   }
-  // What others said before comes anew to this life.
+  // The facts published before by others are delivered again to this run.
   for (Controller& other : controllers_) {
-    other.brought[i].clear();
+    other.delivered[i].clear();
     for (const auto& [key, value] : other.facts) other.pending[i].insert(key);
   }
-  give(i, Restored{std::move(kept)});
-  give(i, LinkUp{});
+  deliver(i, Restored{std::move(stored)});
+  deliver(i, LinkUp{});
 }
 
 void ModelWorld::kill(std::size_t i) {
@@ -73,49 +71,50 @@
   c.facts.clear();
   c.members = {};
   c.list = 0;
-  c.heard_over = false;
-  // With the next life all that the last one said goes.
-  for (std::size_t b = 0; b < kControllers; ++b) c.pending[b] = c.brought[b];
+  c.knows_end = false;
+  // With the next run all facts of the last one are deleted.
+  for (std::size_t b = 0; b < kControllers; ++b) c.pending[b] = c.delivered[b];
 }
 
-void ModelWorld::tell_members(std::size_t i) {
+void ModelWorld::update_members(std::size_t i) {
   Controller& c = controllers_[i];
   if (!c.recovery || now_ < c.late_until) return;
-  MembersChanged told;
-  std::size_t ever = 0;
+  MembersChanged changed;
+  std::size_t ever_started = 0;
   for (std::size_t j = 0; j < kControllers; ++j) {
-    ever += controllers_[j].recovery || controllers_[j].incarnation > 1 ? 1 : 0;
+    ever_started += controllers_[j].recovery || controllers_[j].incarnation > 1 ? 1 : 0;
     if (!linked(i, j)) continue;
-    told.live.push_back(name(j));
-    told.incarnations.push_back(controllers_[j].incarnation);
+    changed.live.push_back(name(j));
+    changed.incarnations.push_back(controllers_[j].incarnation);
   }
-  // A newcomer knows whom it has met; the others have it from each other's tables.
-  told.known = c.alone && told.live.size() == 1 ? 1 : ever;
-  if (faults_.visible_size) told.known = told.live.size();
-  if (told.live == c.members.live && told.known == c.members.known &&
-      told.incarnations == c.members.incarnations)
+  // A newcomer knows only the members it has met; the others know each other from their tables.
+  changed.known = c.alone && changed.live.size() == 1 ? 1 : ever_started;
+  if (faults_.visible_size) changed.known = changed.live.size();
+  if (changed.live == c.members.live && changed.known == c.members.known &&
+      changed.incarnations == c.members.incarnations)
     return;
-  c.members = told;
-  c.alone = c.alone && told.live.size() == 1;
-  give(i, told);
+  c.members = changed;
+  c.alone = c.alone && changed.live.size() == 1;
+  deliver(i, changed);
 }
 
-void ModelWorld::tell_list(std::size_t i) {
+void ModelWorld::update_list(std::size_t i) {
   Controller& c = controllers_[i];
   if (!c.recovery || now_ < std::max(c.late_until, c.list_at) || c.list == list_) return;
   c.list = list_;
-  ListReceived heard{list_, true, {}};
-  const bool anew = list_ > 1;
-  const Office cold{kCold, anew ? 2000U : 1000U, {9, 80}, 0, 1.0};
-  const Office last{kOver, 1001, {9, 81}, 0, 1.0};
+  ListReceived received{list_, true, {}};
+  const bool restarted = list_ > 1;
+  const Office cold{kCold, restarted ? 2000U : 1000U, {9, 80}, 0, 1.0};
+  const Office second{kEnded, 1001, {9, 81}, 0, 1.0};
   Evidence first{cold, Rank::listed, OfficeState::ready, {}, Duration{}};
-  if (anew) first.uptime = 1s;
-  heard.offices = {first, {last, Rank::listed, anew ? over_ : OfficeState::ready, {}, Duration{}}};
-  c.heard_over |= anew;
-  give(i, heard);
+  if (restarted) first.uptime = 1s;
+  received.offices = {first,
+                      {second, Rank::listed, restarted ? ended_state_ : OfficeState::ready, {}, Duration{}}};
+  c.knows_end |= restarted;
+  deliver(i, received);
 }
 
-void ModelWorld::bring(std::size_t from, std::size_t to) {
+void ModelWorld::transfer(std::size_t from, std::size_t to) {
   Controller& owner = controllers_[from];
   Controller& reader = controllers_[to];
   for (const facts::Key& key : std::exchange(owner.pending[to], {})) {
@@ -124,32 +123,32 @@
       fact.deleted = false;
       fact.value = at->second.first;
       fact.age = now_ - at->second.second;
-      owner.brought[to].insert(key);
-    } else if (owner.brought[to].erase(key) == 0) {
+      owner.delivered[to].insert(key);
+    } else if (owner.delivered[to].erase(key) == 0) {
       continue;
     }
     if (key.kind == facts::Kind::office && key.subject == 1 && !fact.deleted) {
-      std::optional<OfficeValue> value = read_office(kOver, fact.value);
-      if (value && value->listed && over(value->listed->state)) {
-        reader.heard_over = true;
-        if (faults_.kept_over_word && reader.kept_ready) {
+      std::optional<OfficeValue> value = read_office(kEnded, fact.value);
+      if (value && value->listed && is_ended(value->listed->state)) {
+        reader.knows_end = true;
+        if (faults_.stored_over_reported && reader.stored_up) {
           value->listed->state = OfficeState::ready;
           fact.value = write(*value);
         }
       }
     }
-    give(to, FactReceived{fact});
+    deliver(to, FactReceived{fact});
   }
 }
 
-// A call of each class: refused at once by the terms, or taken and then answered by an office that may be
-// used, or by the module's own refusal where service is whole and no office is left. Without terms the
-// module decides as it did before there was a fleet.
+// One call of each class: refused at once by the terms, or accepted and then answered by an office that may
+// be used, or by the module's own refusal in full service with no office left. Without terms the module
+// decides as it does without a fleet.
 void ModelWorld::serve(std::size_t i) {
   Controller& c = controllers_[i];
   if (!c.recovery) return;
   const Terms terms = c.terms.value_or(Terms{});
-  const bool whole = !c.terms || terms.offices.empty() || c.recovery->stage() == Stage::full;
+  const bool module_decides = !c.terms || terms.offices.empty() || c.recovery->stage() == Stage::full;
   const bool any = std::any_of(terms.offices.begin(), terms.offices.end(), usable);
   for (const bool urgent : {false, true}) {
     const std::size_t of_class = urgent ? 1 : 0;
@@ -157,13 +156,14 @@
       ++refused_;
       continue;
     }
-    ++taken_;
-    if (any || whole) ++answered_;
+    ++accepted_;
+    if (any || module_decides) ++answered_;
   }
   for (const Terms::Line& line : terms.offices) {
     if (!usable(line)) continue;
     const bool up = line.office.id == kCold || list_ == 1;
-    give(i, OfficeObserved{
+    deliver(i,
+            OfficeObserved{
                 {line.office, Rank::own, up ? OfficeState::answered : OfficeState::refused, {}, Duration{}}});
   }
 }
--- a/tests/fleet/recovery_fleet.h
+++ b/tests/fleet/recovery_fleet.h
@@ -1,7 +1,6 @@
-// A fleet of recoveries in virtual time: facts reach who is up and on the same side after a delay, stores
-// keep what they are told, offices answer by the truth. Its steps call check() of each member.
-//
-// Owns: the members, their stores, the truth of the offices. Must never: read a clock.
+// A fleet of Recovery objects in virtual time. Facts reach the members that are up and on the same side of a
+// partition after a delay, stores retain what is written, offices answer according to `truth`. Each step
+// calls check() of every member. Reads no clock.
 #pragma once
 
 #include <map>
@@ -16,13 +15,13 @@
 
 struct TestFleet {
   struct Member {
-    std::unique_ptr<Recovery> recovery;  // none: down
+    std::unique_ptr<Recovery> recovery;  // none: the member is down
     Incarnation incarnation = 1;
     std::map<std::string, std::pair<std::string, Time>> store;
     std::map<facts::Key, std::pair<std::string, Time>> facts;
     std::vector<StageChanged> stages;
     std::optional<Terms> terms;
-    std::map<ServerId, std::size_t> changes;  // of its verdict or its address, as told to the module
+    std::map<ServerId, std::size_t> changes;  // of the verdict or address in its terms
     std::size_t side = 0, recoveries = 0, bytes = 0;
     Time began{};
   };
@@ -47,11 +46,11 @@
     return members[a].recovery && members[b].recovery && members[a].side == members[b].side;
   }
 
-  void give(std::size_t i, const Event& event) {
+  void deliver(std::size_t i, const Event& event) {
     if (!members[i].recovery) return;
     Actions actions;
     members[i].recovery->on(now, event, actions);
-    done(i, actions);
+    apply(i, actions);
   }
   void start(std::size_t i, std::optional<Duration> store_age = std::nullopt, bool link = true) {
     Member& m = members[i];
@@ -64,55 +63,55 @@
     std::vector<Record> records;
     for (const auto& [key, value] : m.store)
       records.push_back({key, value.first, store_age ? *store_age : now - value.second});
-    give(i, Restored{read_stored_state(records, false)});
+    deliver(i, Restored{read_stored_state(records, false)});
     if (!link) return;
-    give(i, LinkUp{});
+    deliver(i, LinkUp{});
     for (std::size_t j = 0; j < members.size(); ++j)
       if (j != i && connected(i, j))
         for (const auto& [key, value] : members[j].facts) send(j, i, key, value);
-    tell_members();
+    update_members();
   }
   void kill(std::size_t i) {
     members[i].recovery.reset();
-    tell_members();
+    update_members();
   }
-  void tell_members() {
+  void update_members() {
     for (std::size_t i = 0; i < members.size(); ++i) {
-      MembersChanged told;
-      told.known = members.size();
+      MembersChanged changed;
+      changed.known = members.size();
       for (std::size_t j = 0; j < members.size(); ++j)
         if (connected(i, j)) {
-          told.live.push_back(name(j));
-          told.incarnations.push_back(members[j].incarnation);
+          changed.live.push_back(name(j));
+          changed.incarnations.push_back(members[j].incarnation);
         }
-      give(i, told);
+      deliver(i, changed);
     }
   }
-  void cut(const std::vector<std::size_t>& sides) {
+  void partition(const std::vector<std::size_t>& sides) {
     for (std::size_t i = 0; i < sides.size(); ++i) members[i].side = sides[i];
-    tell_members();
+    update_members();
     for (std::size_t i = 0; i < members.size(); ++i)
       for (std::size_t j = 0; j < members.size(); ++j)
         if (i != j && connected(i, j))
           for (const auto& [key, value] : members[j].facts) send(j, i, key, value);
   }
   ListReceived list(std::uint64_t number = 1) const {
-    ListReceived heard{number, true, {}};
+    ListReceived received{number, true, {}};
     for (const auto& [id, office] : truth)
       if (office.second)
-        heard.offices.push_back({office.first, Rank::listed, OfficeState::ready, {}, Duration{}});
-    return heard;
+        received.offices.push_back({office.first, Rank::listed, OfficeState::ready, {}, Duration{}});
+    return received;
   }
-  void tell_list(std::size_t i, std::uint64_t number = 1) { give(i, list(number)); }
-  // Every member tries what its terms let it and sees what is true.
+  void deliver_list(std::size_t i, std::uint64_t number = 1) { deliver(i, list(number)); }
+  // The member tries every office that its terms allow and observes its true state.
   void traffic(std::size_t i) {
     if (!members[i].terms) return;
     const Terms terms = *members[i].terms;
     for (const Terms::Line& line : terms.offices) {
       if (line.verdict != Verdict::trusted && !line.ours) continue;
-      const auto& at = truth.at(line.office.id);
-      const OfficeState seen = at.second ? OfficeState::answered : OfficeState::refused;
-      give(i, OfficeObserved{{line.office, Rank::own, seen, {}, Duration{}}});
+      const auto& office = truth.at(line.office.id);
+      const OfficeState state = office.second ? OfficeState::answered : OfficeState::refused;
+      deliver(i, OfficeObserved{{line.office, Rank::own, state, {}, Duration{}}});
     }
   }
   void run(Duration span, bool with_traffic = true) {
@@ -123,14 +122,14 @@
         due.push_back(f);
         return true;
       });
-      for (const Flight& f : due) give(f.to, FactReceived{f.fact});
+      for (const Flight& f : due) deliver(f.to, FactReceived{f.fact});
       for (std::size_t i = 0; i < members.size(); ++i) {
         Recovery* recovery = members[i].recovery.get();
         if (recovery == nullptr) continue;
         if (recovery->next() <= now) {
           Actions actions;
           recovery->tick(now, actions);
-          done(i, actions);
+          apply(i, actions);
         }
         recovery->check(now);
         if (with_traffic && (now - Time{}) % 200ms == 0ms) traffic(i);
@@ -144,14 +143,15 @@
   }
   std::vector<Verdict> verdicts(std::size_t i) const {
     std::vector<Verdict> all;
-    for (const OfficeAssessment& judged : members[i].recovery->offices(now)) all.push_back(judged.verdict);
+    for (const OfficeAssessment& assessment : members[i].recovery->offices(now))
+      all.push_back(assessment.verdict);
     return all;
   }
-  // A fleet in full service, each with its store.
+  // Brings the fleet into full service, each member with its store.
   void settle(Duration span = 20s) {
     for (std::size_t i = 0; i < members.size(); ++i) {
       start(i);
-      tell_list(i);
+      deliver_list(i);
     }
     run(span);
     for (Member& m : members) m.recoveries = 0;
@@ -159,35 +159,35 @@
 
   RecoverySettings settings;
   std::vector<Member> members;
-  std::map<ServerId, std::pair<Office, bool>> truth;  // and whether it answers
+  std::map<ServerId, std::pair<Office, bool>> truth;  // whether it answers
   std::vector<Flight> flights;
   Duration delay;
-  std::map<std::pair<std::size_t, std::size_t>, Duration> slow;  // ways that take so much longer, always
+  std::map<std::pair<std::size_t, std::size_t>, Duration> extra_delay;  // from one member to another
   Time now = Time{} + 1h;
 
  private:
   void send(std::size_t from, std::size_t to, const facts::Key& key,
             const std::pair<std::string, Time>& value) {
     facts::Fact fact{name(from), members[from].incarnation, 1, key, value.first, false, now - value.second};
-    const auto slower = slow.find({from, to});
-    flights.push_back({now + delay + (slower == slow.end() ? 0ms : slower->second), to, fact});
+    const auto extra = extra_delay.find({from, to});
+    flights.push_back({now + delay + (extra == extra_delay.end() ? 0ms : extra->second), to, fact});
   }
-  void done(std::size_t i, const Actions& actions) {
+  void apply(std::size_t i, const Actions& actions) {
     Member& m = members[i];
     for (const Action& action : actions) {
-      if (const auto* told = std::get_if<StageChanged>(&action)) {
-        m.stages.push_back(*told);
-        if (told->to == Stage::probation) ++m.recoveries;
+      if (const auto* changed = std::get_if<StageChanged>(&action)) {
+        m.stages.push_back(*changed);
+        if (changed->to == Stage::probation) ++m.recoveries;
       } else if (const auto* terms = std::get_if<Terms>(&action)) {
         if (m.terms)
-          for (const Terms::Line& had : m.terms->offices)
+          for (const Terms::Line& previous : m.terms->offices)
             for (const Terms::Line& line : terms->offices)
-              if (had.office.id == line.office.id &&
-                  (had.verdict != line.verdict || had.office.at != line.office.at))
+              if (previous.office.id == line.office.id &&
+                  (previous.verdict != line.verdict || previous.office.at != line.office.at))
                 ++m.changes[line.office.id];
         m.terms = *terms;
-      } else if (const auto* keep = std::get_if<Persist>(&action)) {
-        m.store[keep->key] = {keep->value, now};
+      } else if (const auto* persist = std::get_if<Persist>(&action)) {
+        m.store[persist->key] = {persist->value, now};
       } else if (const auto* publish = std::get_if<Publish>(&action)) {
         m.facts[publish->key] = {*publish->value, now};
         m.bytes += publish->value->size() + 12;
--- a/tests/fleet/recovery_fleet_test.cpp
+++ b/tests/fleet/recovery_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Whole fleets: a total loss, survivors, zones, a second loss, partitions.
+// Complete fleets: a total loss, survivors, zones, a second loss, partitions.
 #include "recovery_fleet.h"
 
 #include <gtest/gtest.h>
@@ -10,19 +10,19 @@
 
 constexpr Verdict kTrusted = Verdict::trusted;
 
-TEST(RecoveryFleet, ATotalLossIsARecoveryThatEnds) {
+TEST(RecoveryFleet, ATotalLossIsARecoveryThatCompletes) {
   TestFleet fleet(12);
   fleet.settle();
   ASSERT_TRUE(fleet.all(Stage::full));
   for (std::size_t i = 0; i < 12; ++i) fleet.kill(i);
-  fleet.truth.at(ServerId{3}).second = false;  // gone while the power was out
+  fleet.truth.at(ServerId{3}).second = false;  // goes down during the outage
   fleet.run(25s);
   for (std::size_t i = 0; i < 12; ++i) fleet.start(i);
   fleet.run(200ms);
   for (const auto& m : fleet.members) {
     ASSERT_TRUE(m.terms);
-    EXPECT_FALSE(m.terms->closed[1]) << "the most urgent is open at once, by what was kept";
-    EXPECT_FALSE(m.terms->closed[0]) << "what was kept can carry it";
+    EXPECT_FALSE(m.terms->closed[1]) << "the most urgent class opens at once, by the stored state";
+    EXPECT_FALSE(m.terms->closed[0]) << "the stored offices can carry it";
   }
   fleet.run(2800ms);
   for (std::size_t i = 0; i < 12; ++i) {
@@ -36,7 +36,7 @@
   EXPECT_TRUE(fleet.all(Stage::full));
 }
 
-TEST(RecoveryFleet, ALossWithFreshStoresIsSeenByTheOthersWord) {
+TEST(RecoveryFleet, ALossWithFreshStoresIsRecognisedFromTheOtherMembers) {
   TestFleet fleet(12);
   fleet.settle();
   for (std::size_t i = 0; i < 12; ++i) fleet.kill(i);
@@ -46,8 +46,9 @@
   for (const auto& m : fleet.members) EXPECT_EQ(m.recoveries, 1U);
 }
 
-// Nobody is heard before each has had to guess by its own store: the guess is taken back.
-TEST(RecoveryFleet, AGuessIsTakenBackAsTheOthersAreHeard) {
+// No report arrives before each member has had to decide by its own store: that provisional decision is
+// reverted.
+TEST(RecoveryFleet, AProvisionalDecisionIsRevertedWhenTheOthersReport) {
   TestFleet fleet(12, 8, 900ms);
   fleet.settle();
   for (std::size_t i = 0; i < 12; ++i) fleet.kill(i);
@@ -59,13 +60,13 @@
   for (const auto& m : fleet.members) EXPECT_EQ(m.recoveries, 1U);
 }
 
-TEST(RecoveryFleet, ThreeSurvivorsOfTwelveAreBelieved) {
+TEST(RecoveryFleet, ThreeSurvivorsOfTwelveAreTrusted) {
   TestFleet fleet(12);
   fleet.settle();
   for (std::size_t i = 3; i < 12; ++i) fleet.kill(i);
   fleet.truth.at(ServerId{5}).second = false;
   fleet.truth.at(ServerId{6}).second = false;
-  for (std::size_t i = 0; i < 3; ++i) fleet.give(i, SourceUnreachable{});
+  for (std::size_t i = 0; i < 3; ++i) fleet.deliver(i, SourceUnreachable{});
   fleet.run(20s);
   for (std::size_t i = 3; i < 12; ++i) {
     fleet.start(i);
@@ -74,7 +75,7 @@
   fleet.run(3s);
   for (std::size_t i = 0; i < 12; ++i) {
     EXPECT_EQ(fleet.verdicts(i), fleet.verdicts(0)) << i;
-    EXPECT_NE(fleet.verdicts(i)[5], kTrusted) << "a survivor's word outranks what was kept as up";
+    EXPECT_NE(fleet.verdicts(i)[5], kTrusted) << "a survivor's observation outranks what is stored as up";
     EXPECT_EQ(fleet.verdicts(i)[0], kTrusted);
     EXPECT_EQ(fleet.members[i].recoveries, i < 3 ? 0U : 1U) << i;
     EXPECT_EQ(fleet.members[i].recovery->agreed(), 12U);
@@ -90,7 +91,7 @@
     fleet.run(200s);
     for (std::size_t i = 0; i < 7; ++i) fleet.start(i);
     fleet.run(second);
-    for (std::size_t i = 0; i < 6; ++i) fleet.kill(i);  // the last stays up
+    for (std::size_t i = 0; i < 6; ++i) fleet.kill(i);  // the last one stays up
     fleet.run(500ms);
     for (std::size_t i = 0; i < 6; ++i) fleet.start(i);
     fleet.run(3s);
@@ -101,7 +102,7 @@
   }
 }
 
-TEST(RecoveryFleet, WhoStaysUpInASecondLossAsksAgain) {
+TEST(RecoveryFleet, AMemberThatStaysUpInASecondLossAsksAgain) {
   TestFleet fleet(7);
   fleet.settle();
   for (std::size_t i = 0; i < 7; ++i) fleet.kill(i);
@@ -115,7 +116,7 @@
   EXPECT_EQ(fleet.members[6].recovery->counts().second_losses, 1U);
 }
 
-TEST(RecoveryFleet, PowerReturnsZoneByZoneAndAMinorityIsNotTheWhole) {
+TEST(RecoveryFleet, PowerReturnsZoneByZoneAndAMinorityKeepsTheAgreedSize) {
   TestFleet fleet(12);
   fleet.settle();
   for (std::size_t i = 0; i < 12; ++i) fleet.kill(i);
@@ -129,7 +130,7 @@
       EXPECT_EQ(m.recovery->agreed(), 12U);
       sum += m.recovery->share(fleet.now).part;
       EXPECT_EQ(m.recovery->share(fleet.now).minority, zone == 0);
-      EXPECT_FALSE(m.terms->closed[1]) << "it goes on with what it has";
+      EXPECT_FALSE(m.terms->closed[1]) << "it continues with what it has";
     }
     EXPECT_LE(sum, 1.0 + 1.0e-9);
   }
@@ -137,12 +138,12 @@
   EXPECT_TRUE(fleet.all(Stage::full));
 }
 
-TEST(RecoveryFleet, CutInFiveAndSevenSharesNeverComeToMoreThanTheWhole) {
+TEST(RecoveryFleet, InAPartitionOfFiveAndSevenSharesNeverExceedTheAllowance) {
   TestFleet fleet(12);
   fleet.settle();
   std::vector<std::size_t> sides(12, 0);
   std::fill_n(sides.begin(), 5, 1U);
-  fleet.cut(sides);
+  fleet.partition(sides);
   for (int second = 0; second < 40; ++second) {
     fleet.run(1s);
     double sum = 0.0;
@@ -150,21 +151,21 @@
     ASSERT_LE(sum, 1.0 + 1.0e-9);
     for (const auto& m : fleet.members) ASSERT_EQ(m.recovery->agreed(), 12U);
   }
-  fleet.cut(std::vector<std::size_t>(12, 0));
+  fleet.partition(std::vector<std::size_t>(12, 0));
   fleet.run(3s);
   for (const auto& m : fleet.members) EXPECT_EQ(m.recoveries, 0U);
 }
 
-// Two lists with equal numbers and different content: one winner, everywhere, and no verdict goes to and fro.
+// Two lists with equal numbers and different content: one wins on every member, and no verdict flaps.
 TEST(RecoveryFleet, AfterAHealedPartitionOneListWinsEverywhere) {
   TestFleet fleet(6);
   fleet.settle();
-  fleet.cut({0, 0, 0, 1, 1, 1});
-  ListReceived less = fleet.list(2);
-  less.offices.erase(less.offices.begin() + 2);
-  for (std::size_t i = 0; i < 6; ++i) fleet.give(i, i < 3 ? less : fleet.list(2));
+  fleet.partition({0, 0, 0, 1, 1, 1});
+  ListReceived shorter = fleet.list(2);
+  shorter.offices.erase(shorter.offices.begin() + 2);
+  for (std::size_t i = 0; i < 6; ++i) fleet.deliver(i, i < 3 ? shorter : fleet.list(2));
   fleet.run(1s, false);
-  fleet.cut({0, 0, 0, 0, 0, 0});
+  fleet.partition({0, 0, 0, 0, 0, 0});
   fleet.run(1s, false);
   const std::vector<Verdict> agreed = fleet.verdicts(0);
   for (int step = 0; step < 50; ++step) {
@@ -173,25 +174,25 @@
   }
 }
 
-TEST(RecoveryFleet, WhatOneLiveListCallsGoneIsBarredEverywhereInTime) {
+TEST(RecoveryFleet, AnOfficeThatOneLiveListReportsGoneIsBarredEverywhereInTime) {
   TestFleet fleet(12);
   fleet.settle();
   Office gone = fleet.truth.at(ServerId{4}).first;
-  fleet.give(7, ListReceived{2, false, {{gone, Rank::listed, OfficeState::gone, {}, Duration{}}}});
+  fleet.deliver(7, ListReceived{2, false, {{gone, Rank::listed, OfficeState::gone, {}, Duration{}}}});
   fleet.run(250ms);
   for (std::size_t i = 0; i < 12; ++i) {
     EXPECT_EQ(fleet.members[i].terms->offices[4].verdict, Verdict::barred) << i;
-    fleet.tell_list(i, 3);  // by the others' lists it is ready
+    fleet.deliver_list(i, 3);  // the other members' lists still have it ready
   }
   fleet.run(5s);
   for (const auto& m : fleet.members) EXPECT_EQ(m.terms->offices[4].verdict, Verdict::barred);
   ++fleet.truth.at(ServerId{4}).first.start;
-  fleet.tell_list(1, 4);
+  fleet.deliver_list(1, 4);
   fleet.run(1s);
   for (const auto& m : fleet.members) EXPECT_EQ(m.terms->offices[4].verdict, kTrusted);
 }
 
-TEST(RecoveryFleet, WhatIsToldIsLittle) {
+TEST(RecoveryFleet, PublishedFactsStayWithinTheirBudget) {
   TestFleet fleet(12, 24);
   fleet.settle();
   for (auto& m : fleet.members) m.bytes = 0;
@@ -199,7 +200,7 @@
   std::size_t all = 0;
   for (const auto& m : fleet.members) all += m.bytes;
   RecordProperty("bytes_a_second", static_cast<int>(all / 30));
-  EXPECT_LE(all / 30, 2048U / 2) << "bytes of facts a second that each of twelve takes in";
+  EXPECT_LE(all / 30, 2048U / 2) << "bytes of facts per second that each of twelve members receives";
 }
 
 }  // namespace
--- a/tests/fleet/recovery_starts_test.cpp
+++ b/tests/fleet/recovery_starts_test.cpp
@@ -1,4 +1,5 @@
-// Starts that are no loss: of one among many, a tenth after the other, and of a fleet that has never served.
+// Starts that are no loss: of one member among many, of a tenth at a time, and of a fleet that has never been
+// in service.
 #include <gtest/gtest.h>
 
 #include "recovery_fleet.h"
@@ -8,12 +9,13 @@
 
 constexpr Verdict kTrusted = Verdict::trusted;
 
-// Nobody has been in service before. One dies amid it, with a store by then; later three more join.
-TEST(RecoveryStarts, AFirstStartIsNoLossAndNeitherIsACrashInItNorGrowth) {
+// No member has been in service before. One crashes during the start, with a store by then; later three more
+// join.
+TEST(RecoveryStarts, AFirstStartACrashDuringItAndGrowthAreNoLoss) {
   TestFleet fleet(12);
   for (std::size_t i = 0; i < 9; ++i) {
     fleet.start(i);
-    fleet.tell_list(i);
+    fleet.deliver_list(i);
   }
   const auto shares = [&] {
     double sum = 0.0;
@@ -30,21 +32,22 @@
   fleet.kill(0);
   fleet.run(500ms);
   fleet.start(0);
-  fleet.tell_list(0);
+  fleet.deliver_list(0);
   fleet.run(3s);
   EXPECT_TRUE(fleet.all(Stage::full));
   fleet.run(10s);
   for (std::size_t i = 9; i < 12; ++i) {
     fleet.start(i);
-    fleet.tell_list(i);
+    fleet.deliver_list(i);
   }
   fleet.run(3s);
   EXPECT_TRUE(fleet.all(Stage::full));
   for (const auto& m : fleet.members) EXPECT_EQ(m.recoveries, 0U);
 }
 
-// A loss after which most stores are empty is not told from a first start: what then holds all the same.
-TEST(RecoveryStarts, ALossWithMostDisksEmptiedOpensByStepsAndTriesWhatItIsNotTold) {
+// A loss after which most stores are empty cannot be distinguished from a first start. These properties hold
+// nevertheless.
+TEST(RecoveryStarts, ALossWithMostDisksEmptiedOpensByStepsAndTriesUnlistedOffices) {
   for (const std::size_t emptied : {std::size_t{5}, std::size_t{12}}) {
     TestFleet fleet(12);
     fleet.settings.leases.min_size = 12;
@@ -59,11 +62,11 @@
       configured.live = false;
       configured.offices.push_back(
           {fleet.truth.at(ServerId{3}).first, Rank::listed, OfficeState::ready, {}, {}});
-      fleet.give(i, configured);
+      fleet.deliver(i, configured);
     }
     fleet.run(260ms, false);
-    // Who has kept what the offices were opens as far as these can carry; who has not closes the least
-    // urgent.
+    // A member with stored offices opens as far as these can carry; one without closes the least urgent
+    // class.
     for (std::size_t i = 0; i < 12; ++i) {
       const auto& m = fleet.members[i];
       EXPECT_TRUE(m.terms && m.terms->closed[0].has_value() == (i < emptied)) << i;
@@ -85,7 +88,7 @@
   }
 }
 
-TEST(RecoveryStarts, ARollingRestartIsNeverTakenForALoss) {
+TEST(RecoveryStarts, ARollingRestartIsNeverClassifiedAsALoss) {
   TestFleet fleet(20, 8);
   fleet.settle();
   for (std::size_t tenth = 0; tenth < 10; ++tenth) {
@@ -96,15 +99,15 @@
     for (std::size_t i = 2 * tenth; i < 2 * tenth + 2; ++i) {
       EXPECT_EQ(fleet.members[i].recovery->stage(), Stage::full) << i;
       EXPECT_FALSE(fleet.members[i].recovery->recovering()) << i;
-      fleet.tell_list(i);
+      fleet.deliver_list(i);
     }
     fleet.run(3s);
   }
   for (const auto& m : fleet.members) EXPECT_EQ(m.recoveries, 0U);
 }
 
-// The store is a day old, and yet the others never stopped: what counts is their word.
-TEST(RecoveryStarts, OneWithAnOldStoreAmongManyThatAreFullIsNoLoss) {
+// The store is a day old, but the others never stopped: their reports count.
+TEST(RecoveryStarts, AMemberWithAnOldStoreAmongFullMembersIsNoLoss) {
   TestFleet fleet(5);
   fleet.settle();
   fleet.kill(4);
@@ -115,21 +118,21 @@
   EXPECT_EQ(fleet.members[4].recoveries, 0U);
 }
 
-// What counts is what was said since it asks: who is full renews its word as it is asked, not an exchange
-// later.
-TEST(RecoveryStarts, WhoBeginsAnExchangeInALifeNotHeardOfIsAnsweredWithAFreshWord) {
+// Only reports since the member began to ask count: a full member renews its report when it is asked, not one
+// exchange later.
+TEST(RecoveryStarts, AnExchangeFromAnUnknownIncarnationIsAnsweredWithAFreshReport) {
   TestFleet fleet(5);
   fleet.settle();
   const facts::Key stage{facts::Kind::stage, 0};
-  const auto said = [&] { return fleet.now - fleet.members[0].facts.at(stage).second; };
-  while (said() < 600ms) fleet.run(100ms);
-  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation});
-  EXPECT_GE(said(), 600ms) << "this life has spoken";
-  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 1});
-  EXPECT_EQ(said(), 0ms);
+  const auto report_age = [&] { return fleet.now - fleet.members[0].facts.at(stage).second; };
+  while (report_age() < 600ms) fleet.run(100ms);
+  fleet.deliver(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation});
+  EXPECT_GE(report_age(), 600ms) << "this incarnation has already reported";
+  fleet.deliver(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 1});
+  EXPECT_EQ(report_age(), 0ms);
   fleet.run(200ms);
-  fleet.give(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 2});
-  EXPECT_EQ(said(), 200ms) << "no more often than it counts as fresh";
+  fleet.deliver(0, ExchangeStarted{TestFleet::name(4), fleet.members[4].incarnation + 2});
+  EXPECT_EQ(report_age(), 200ms) << "not renewed while it still counts as fresh";
 }
 
 }  // namespace
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -1,5 +1,5 @@
-// What the core saw of offices on its way to the fleet: no outcome is lost or late, a turn is told at once,
-// and the core's side and the link's do not meet.
+// The core's observations of offices on their way to the fleet: no outcome is lost or late, a change between
+// up and down is reported at once, and the core's thread and the link's thread do not race.
 #include "fleet/service/sightings.h"
 
 #include <gtest/gtest.h>
@@ -21,25 +21,25 @@
   return out;
 }
 
-struct Reader {  // the link's side
+struct Reader {  // on the link's thread
   Sightings sightings{MemberId{7}};
   std::map<ServerId, recovery::OfficeLoad> sum;
-  std::map<ServerId, std::vector<OfficeState>> seen;
+  std::map<ServerId, std::vector<OfficeState>> states;
   std::map<ServerId, double> carried;
   std::size_t times = 0, events = 0;
-  std::vector<recovery::Event> told;
+  std::vector<recovery::Event> collected;
   void collect(Time now) {
-    told.clear();
-    sightings.collect(now, told);
+    collected.clear();
+    sightings.collect(now, collected);
     ++times;
-    events += told.size();
-    for (const recovery::Event& event : told) {
+    events += collected.size();
+    for (const recovery::Event& event : collected) {
       if (const auto* p = std::get_if<recovery::OfficeLoad>(&event)) {
         sum[p->office].established += p->established;
         sum[p->office].refused += p->refused;
         sum[p->office].failed += p->failed;
       } else if (const auto* s = std::get_if<recovery::OfficeObserved>(&event)) {
-        seen[s->evidence.office.id].push_back(s->evidence.state);
+        states[s->evidence.office.id].push_back(s->evidence.state);
       } else if (const auto* c = std::get_if<recovery::CarriedRate>(&event)) {
         carried[c->office] = c->per_second;
       }
@@ -52,71 +52,71 @@
 };
 Counted counted(const recovery::OfficeLoad& p) { return {p.established, p.refused, p.failed}; }
 
-// Against plain counting, at random paces: after each outcome the reader comes when next() says so, never
-// before, and by then everything is told.
-TEST(Sightings, LoseNothingAndAreToldInTime) {
+// Compared with expected counting at random paces: the reader collects only when next() says so, and by then
+// every outcome is reported.
+TEST(Sightings, AreCompleteAndReportedInTime) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t n) { return random() % n; };
     Reader reader;
-    std::map<ServerId, Counted> plain;
-    std::map<ServerId, Time> untold;  // since when something is
-    std::map<ServerId, bool> there;
-    std::map<ServerId, Time> turned;
+    std::map<ServerId, Counted> expected;
+    std::map<ServerId, Time> unreported_since;
+    std::map<ServerId, bool> is_up;
+    std::map<ServerId, Time> changed_at;
     for (std::uint32_t id = 1; id <= 4; ++id) reader.sightings.name(office(id));
     Time now{1h};
     bool opens = below(2) == 0;
-    const std::uint64_t bad = below(2) == 0 ? 40 : 4;  // one outcome in so many, about
+    const std::uint64_t bad = below(2) == 0 ? 40 : 4;  // about one outcome in this many
     reader.collect(now);
     for (int n = 0; n < 2000; ++n) {
       const auto collect = [&](Time at) {
-        for (const auto& [id, since] : untold)  // next() never comes later than the bound
+        for (const auto& [id, since] : unreported_since)  // next() is never later than the bound
           ASSERT_LE(at - since, opens ? sums::kSoon : sums::kSlowReportInterval) << seed;
         reader.collect(at);
-        untold.clear();
-        for (const auto& [id, count] : plain) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
+        unreported_since.clear();
+        for (const auto& [id, count] : expected) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
       };
       const Time until =
           now + Duration(static_cast<std::int64_t>(below(n % 100 == 0 ? 3'000'000'000 : 20'000'000)));
       for (Time at; (at = reader.sightings.next(opens)) <= until;) collect(at);
       now = until;
-      if (below(500) == 0) {  // what waited for a slower pace is told with the change of pace
+      if (below(500) == 0) {  // what waited for the slower interval is reported when the interval changes
         opens = !opens;
         reader.collect(now);
-        untold.clear();
+        unreported_since.clear();
       }
       const ServerId id{static_cast<std::uint32_t>(1 + below(4))};
       const OfficeObservation what =
           below(bad) != 0 ? OfficeObservation::answered : static_cast<OfficeObservation>(1 + below(4));
-      plain[id].established += what == OfficeObservation::answered;
-      plain[id].refused += what == OfficeObservation::refused;
-      plain[id].failed += what == OfficeObservation::broke || what == OfficeObservation::silent;
-      untold.emplace(id, now);
+      expected[id].established += what == OfficeObservation::answered;
+      expected[id].refused += what == OfficeObservation::refused;
+      expected[id].failed += what == OfficeObservation::broke || what == OfficeObservation::silent;
+      unreported_since.emplace(id, now);
       const bool at_once = reader.sightings.saw(now, id, what);
       if (what == OfficeObservation::broke) {
         ASSERT_FALSE(at_once);
         continue;
       }
       const bool up = what == OfficeObservation::answered || what == OfficeObservation::refused;
-      const bool turn = !there.contains(id) || there[id] != up;
-      there[id] = up;
-      if (!turn) {
+      const bool changed = !is_up.contains(id) || is_up[id] != up;
+      is_up[id] = up;
+      if (!changed) {
         ASSERT_FALSE(at_once) << seed;
         continue;
       }
-      const bool first_of_late = !turned.contains(id) || now >= turned[id] + sums::kSoon;
-      ASSERT_EQ(at_once, first_of_late) << seed;
-      if (at_once) turned[id] = now;
+      const bool first_in_interval = !changed_at.contains(id) || now >= changed_at[id] + sums::kSoon;
+      ASSERT_EQ(at_once, first_in_interval) << seed;
+      if (at_once) changed_at[id] = now;
       ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kSoon) << seed;
       if (!at_once) continue;
       reader.collect(now);
-      untold.clear();
-      ASSERT_EQ(reader.seen[id].back() == OfficeState::answered, up) << seed;
+      unreported_since.clear();
+      ASSERT_EQ(reader.states[id].back() == OfficeState::answered, up) << seed;
     }
   }
 }
 
-TEST(Sightings, AThousandCallsASecondAreToldOnceASecond) {
+TEST(Sightings, AThousandCallsPerSecondAreReportedOncePerSecond) {
   Reader reader;
   reader.sightings.name(office(1));
   const Time begin{1h};
@@ -131,15 +131,15 @@
   EXPECT_NEAR(reader.carried[ServerId{1}], 750.0, 1.0);
   reader.collect(begin + 12s);
   reader.collect(begin + 13s);
-  EXPECT_EQ(reader.carried[ServerId{1}], 0.0) << "it carries nothing any more";
+  EXPECT_EQ(reader.carried[ServerId{1}], 0.0) << "the office no longer carries calls";
 }
 
-TEST(Sightings, WhatWasSeenOfAnEarlierLifeIsNotToldOfThisOne) {
+TEST(Sightings, ObservationsOfAnEarlierInstanceAreNotReportedForThisOne) {
   Reader reader;
   const Time now{1h};
   (void)reader.sightings.saw(now, ServerId{1}, OfficeObservation::answered);
   reader.collect(now);
-  EXPECT_EQ(reader.events, 0U) << "it has no name yet";
+  EXPECT_EQ(reader.events, 0U) << "the instance is not known yet";
   reader.sightings.name(office(1));
   (void)reader.sightings.saw(now + 1ms, ServerId{1}, OfficeObservation::answered);
   reader.sightings.name(office(1, 2000));
@@ -148,21 +148,21 @@
   (void)reader.sightings.saw(now + 3ms, ServerId{1}, OfficeObservation::silent);
   reader.collect(now + 3ms);
   EXPECT_EQ(counted(reader.sum[ServerId{1}]), (Counted{0, 0, 1}));
-  EXPECT_EQ(reader.seen[ServerId{1}], std::vector{OfficeState::silent});
+  EXPECT_EQ(reader.states[ServerId{1}], std::vector{OfficeState::silent});
 }
 
-// Two threads, as in service; more offices than there are places.
-TEST(Sightings, TheCoreCountsWhileTheLinkReads) {
+// Two threads, as in production, and more offices than there are slots.
+TEST(Sightings, TheCoreCountsWhileTheLinkCollects) {
   constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
   Reader reader;
   for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.name(office(id));
-  std::atomic<bool> over{false};
+  std::atomic<bool> finished{false};
   std::thread core([&] {
     for (std::uint32_t n = 0; n < 20 * kTwice; ++n)
       (void)reader.sightings.saw(Time{1h} + n * 1us, ServerId{n % kTwice}, OfficeObservation::answered);
-    over = true;
+    finished = true;
   });
-  while (!over) reader.collect(Time{1h});
+  while (!finished) reader.collect(Time{1h});
   core.join();
   reader.collect(Time{1h});
   EXPECT_EQ(reader.sum.size(), sums::kMaxOffices);
