--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -162,7 +162,7 @@
   OfficeAssessment none;
   none.office.id = office;
   none.rank = Rank::stored;
-  none.reason = "unknown office";
+  none.reason = "never heard of";
   return none;
 }
 std::vector<OfficeAssessment> OfficeEvidence::assess_all(Time now) const {
--- a/tests/fleet/recovery_offices_test.cpp
+++ b/tests/fleet/recovery_offices_test.cpp
@@ -1,5 +1,4 @@
-// Verdicts on offices: each rank against the next, instances, which verdicts are permanent, and that the
-// order of arrival never counts.
+// Verdicts on offices: each rank against the next, instances, permanence, independence of the order.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,14 +26,14 @@
   settings.ramp = 30s;
   return settings;
 }
-OfficeAssessment assessment(std::vector<Evidence> all, Duration when = 0s) {
+OfficeAssessment assess(std::vector<Evidence> all, Duration when = 0s) {
   OfficeEvidence offices(settings());
   for (const Evidence& e : all) offices.add(at(0s), e);
   offices.check();
   return offices.assess(at(when), kId);
 }
 Verdict verdict(std::vector<Evidence> all, Duration when = 0s) {
-  return assessment(std::move(all), when).verdict;
+  return assess(std::move(all), when).verdict;
 }
 
 TEST(OfficeEvidence, StoredEvidenceIsTrustedByItsAge) {
@@ -44,7 +43,7 @@
       << "it also ages after it was read";
   EXPECT_EQ(verdict({evidence(Rank::stored, OfficeState::answered, 24h)}), Verdict::trial);
   EXPECT_EQ(verdict({evidence(Rank::stored, OfficeState::answered, -1h)}), Verdict::trial)
-      << "from the future: counts as the oldest";
+      << "in the future: as the oldest";
   Evidence unknown = evidence(Rank::stored, OfficeState::answered, 0s);
   unknown.age.reset();
   EXPECT_EQ(verdict({unknown}), Verdict::trial);
@@ -60,8 +59,7 @@
   EXPECT_EQ(verdict({evidence(Rank::stored, OfficeState::answered, 24h),
                      evidence(Rank::survivor, OfficeState::answered, 20s, 2)}),
             Verdict::trusted);
-  EXPECT_EQ(assessment({stored, evidence(Rank::survivor, OfficeState::answered, 20s, 2)}).rank,
-            Rank::survivor);
+  EXPECT_EQ(assess({stored, evidence(Rank::survivor, OfficeState::answered, 20s, 2)}).rank, Rank::survivor);
 }
 
 TEST(OfficeEvidence, AnAnswerOutweighsYoungerDoubtsWithinTheGrace) {
@@ -116,8 +114,7 @@
   for (const std::uint64_t source : {1, 2, 3})
     EXPECT_EQ(report(OfficeState::gone, source, 5, 9s), Verdict::barred);
   EXPECT_EQ(report(OfficeState::ready, 4, 8), Verdict::barred) << "it never reported it ended";
-  EXPECT_EQ(report(OfficeState::ready, 1, 5), Verdict::barred)
-      << "with the same list only the reporter of the highest id can";
+  EXPECT_EQ(report(OfficeState::ready, 1, 5), Verdict::barred) << "same list: only the highest id can";
   EXPECT_EQ(report(OfficeState::ready, 1, 6), Verdict::trusted);
   EXPECT_EQ(report(OfficeState::gone, 2, 5, 1s), Verdict::trusted) << "reported again with the earlier list";
   EXPECT_EQ(report(OfficeState::gone, 3, 7), Verdict::barred) << "with a newer list than that";
@@ -125,16 +122,13 @@
 
 TEST(OfficeEvidence, AnotherAddressIsAnotherOfficeOnlyIfAListSaysSo) {
   const Evidence moved = evidence(Rank::listed, OfficeState::ready, 1s, 2, 5, 200);
-  const OfficeAssessment listed_elsewhere =
-      assessment({evidence(Rank::survivor, OfficeState::refused, 1s, 1), moved});
-  EXPECT_EQ(listed_elsewhere.verdict, Verdict::trusted);
-  EXPECT_EQ(listed_elsewhere.office.at.port, 200);
-  const OfficeAssessment observed_elsewhere =
-      assessment({evidence(Rank::listed, OfficeState::ready, 9s, 1),
-                  evidence(Rank::survivor, OfficeState::refused, 1s, 2, 5, 200)});
-  EXPECT_EQ(observed_elsewhere.verdict, Verdict::trusted)
-      << "an observation at another address does not count for it";
-  EXPECT_EQ(observed_elsewhere.office.at.port, 100);
+  const OfficeAssessment relisted = assess({evidence(Rank::survivor, OfficeState::refused, 1s, 1), moved});
+  EXPECT_EQ(relisted.verdict, Verdict::trusted);
+  EXPECT_EQ(relisted.office.at.port, 200);
+  const OfficeAssessment unmoved = assess({evidence(Rank::listed, OfficeState::ready, 9s, 1),
+                                           evidence(Rank::survivor, OfficeState::refused, 1s, 2, 5, 200)});
+  EXPECT_EQ(unmoved.verdict, Verdict::trusted) << "an observation at another address does not count for it";
+  EXPECT_EQ(unmoved.office.at.port, 100);
   EXPECT_EQ(verdict({evidence(Rank::stored, OfficeState::answered, 1s),
                      evidence(Rank::own, OfficeState::silent, 1s, 1, 6)}),
             Verdict::trial)
@@ -142,12 +136,12 @@
 }
 
 TEST(OfficeEvidence, AStartReportedOnlyByPeersCountsWithoutABetterSource) {
-  EXPECT_EQ(assessment({evidence(Rank::listed, OfficeState::ready, 1s, 1),
-                        evidence(Rank::peer, OfficeState::refused, 1s, 2, 99)})
+  EXPECT_EQ(assess({evidence(Rank::listed, OfficeState::ready, 1s, 1),
+                    evidence(Rank::peer, OfficeState::refused, 1s, 2, 99)})
                 .office.start,
             5U);
-  EXPECT_EQ(assessment({evidence(Rank::stored, OfficeState::answered, 1s, 1),
-                        evidence(Rank::peer, OfficeState::answered, 1s, 2, 99)})
+  EXPECT_EQ(assess({evidence(Rank::stored, OfficeState::answered, 1s, 1),
+                    evidence(Rank::peer, OfficeState::answered, 1s, 2, 99)})
                 .office.start,
             99U);
 }
@@ -162,10 +156,10 @@
   EXPECT_EQ(verdict({listed(OfficeState::ready, {1, 8, 3}, 1), listed(OfficeState::absent, {1, 8, 3}, 2)}),
             Verdict::barred)
       << "at equal lists the worse state";
-  EXPECT_EQ(assessment({listed(OfficeState::ready, {1, 8, 3}, 1, 300),
-                        listed(OfficeState::ready, {1, 8, 4}, 2, 200)})
-                .office.at.port,
-            200);
+  EXPECT_EQ(
+      assess({listed(OfficeState::ready, {1, 8, 3}, 1, 300), listed(OfficeState::ready, {1, 8, 4}, 2, 200)})
+          .office.at.port,
+      200);
 }
 
 TEST(OfficeEvidence, AListThatIsNoLongerLiveCountsAsAnObservation) {
@@ -180,20 +174,20 @@
 }
 
 TEST(OfficeEvidence, AnOfficeIsColdAfterARestartOrWithAShortReportedUptime) {
-  EXPECT_FALSE(assessment({evidence(Rank::listed, OfficeState::ready, 0s)}).cold) << "its uptime is unknown";
+  EXPECT_FALSE(assess({evidence(Rank::listed, OfficeState::ready, 0s)}).cold) << "its uptime is unknown";
   const std::vector<Evidence> restarted{evidence(Rank::stored, OfficeState::answered, 60s),
                                         evidence(Rank::listed, OfficeState::ready, 10s, 1, 6)};
-  EXPECT_TRUE(assessment(restarted).cold);
-  EXPECT_EQ(assessment(restarted).uptime, 10s);
-  EXPECT_FALSE(assessment(restarted, 21s).cold);
+  EXPECT_TRUE(assess(restarted).cold);
+  EXPECT_EQ(assess(restarted).uptime, 10s);
+  EXPECT_FALSE(assess(restarted, 21s).cold);
   Evidence with_uptime = evidence(Rank::listed, OfficeState::ready, 1s);
   with_uptime.uptime = 1h;
-  EXPECT_FALSE(assessment({with_uptime}).cold);
+  EXPECT_FALSE(assess({with_uptime}).cold);
   with_uptime.uptime = 4s;
-  EXPECT_TRUE(assessment({with_uptime}).cold);
-  EXPECT_EQ(assessment({with_uptime}).uptime, 5s);
-  EXPECT_FALSE(assessment({evidence(Rank::stored, OfficeState::answered, 59s)}).cold);
-  EXPECT_TRUE(assessment({evidence(Rank::stored, OfficeState::answered, 61s)}).cold)
+  EXPECT_TRUE(assess({with_uptime}).cold);
+  EXPECT_EQ(assess({with_uptime}).uptime, 5s);
+  EXPECT_FALSE(assess({evidence(Rank::stored, OfficeState::answered, 59s)}).cold);
+  EXPECT_TRUE(assess({evidence(Rank::stored, OfficeState::answered, 61s)}).cold)
       << "stored warmth is not trusted for so long";
 }
 
@@ -210,8 +204,7 @@
       offices.check();
     }
   EXPECT_EQ(offices.size(), 3U);
-  EXPECT_EQ(offices.assess(at(0s), ServerId{2}).rank, Rank::listed)
-      << "the weakest was dropped, not the listed one";
+  EXPECT_EQ(offices.assess(at(0s), ServerId{2}).rank, Rank::listed) << "only weaker evidence was dropped";
 }
 
 // The same evidence in any order gives the same verdict, now and later, and the same fingerprint.
