--- a/src/fleet/recovery/keeping.cpp
+++ b/src/fleet/recovery/keeping.cpp
@@ -1,7 +1,6 @@
 // Records for the store: stage and sizes at least every 5 s, the list every 15 s, rates every 30 s. Changes
 // are written within a second. A new instance, or the end of one, that a live list reports is written at
-// once, since flickering power does not leave a second. Stored evidence is never written as younger than it
-// is.
+// once, since flickering power does not leave a second. Stored evidence never appears younger than it is.
 #include <cmath>
 
 #include "fleet/recovery/mix.h"
--- a/src/fleet/recovery/opening.h
+++ b/src/fleet/recovery/opening.h
@@ -4,12 +4,11 @@
 // The opening follows no timetable while offices are saturated, and never closes what the trusted offices can
 // carry: it does not fall below the capacity passed in (recovery.h). Above that it
 //   grows    from 0 to 1 in `min_opening_time` while nothing is saturated;
-//   pauses   while the capacity-weighted mean of the reported utilisation is `saturation` or more, or at
-//   least
-//            1 - saturation of the last second's answers were refusals;
+//   pauses   while the capacity-weighted mean of the reported utilisation is `saturation` or more, or while
+//            at least 1 - saturation of the last second's answers were refusals;
 //   shrinks  half as fast while at least half of them were.
 // A report counts for one second. Class c, at position i among n by worth and then by the shorter aim, is
-// open from (i + stagger) / n; the first is open at once.
+// open from an opening of (i + stagger) / n on; the first is open at once.
 //
 // No clock reads. Not synchronised. Equal inputs give equal outputs; copyable.
 #pragma once
