--- a/bench/fleet_sim.cpp
+++ b/bench/fleet_sim.cpp
@@ -28,9 +28,10 @@
     std::printf(
         "controllers %zu offices %zu loss %.2f seed %llu: agreed %.2f s, full %.2f s, urgent %.2f s, cold "
         "%.2f of allowance, %llu falls, %llu to gone, digest %016llx (%.1f s of a core)\n",
-        size, offices, loss, static_cast<unsigned long long>(seed), o.agreed, o.full, o.urgent, o.most,
-        static_cast<unsigned long long>(o.falls), static_cast<unsigned long long>(o.to_gone),
-        static_cast<unsigned long long>(o.digest), used() - begun);
+        size, offices, loss, static_cast<unsigned long long>(seed), o.agreed, o.full, o.urgent,
+        o.max_allowance_used, static_cast<unsigned long long>(o.falls),
+        static_cast<unsigned long long>(o.to_gone), static_cast<unsigned long long>(o.digest),
+        used() - begun);
     std::fflush(stdout);
   }
   return good;
--- a/src/config/controllers.cpp
+++ b/src/config/controllers.cpp
@@ -94,12 +94,12 @@
                                         yaml::show_span(t.members.period) +
                                         ": the probe through others needs the rest of it");
     const json exchange = top.value("exchange", json::object());
-    fleet::pace::GossipScheduleSettings& pace = t.pace;
-    pace.every = span_above_zero(exchange, "/fleet/exchange", "every", pace.every);
-    pace.urgent = span_above_zero(exchange, "/fleet/exchange", "urgent", pace.urgent);
-    pace.bytes = exchange.value("bytes", pace.bytes);
-    if (pace.urgent > pace.every)
-      fail("/fleet/exchange/urgent", "must be no longer than every, " + yaml::show_span(pace.every));
+    fleet::pace::GossipScheduleSettings& gossip = t.gossip;
+    gossip.interval = span_above_zero(exchange, "/fleet/exchange", "every", gossip.interval);
+    gossip.urgent_interval = span_above_zero(exchange, "/fleet/exchange", "urgent", gossip.urgent_interval);
+    gossip.bytes_per_second = exchange.value("bytes", gossip.bytes_per_second);
+    if (gossip.urgent_interval > gossip.interval)
+      fail("/fleet/exchange/urgent", "must be no longer than every, " + yaml::show_span(gossip.interval));
     const json recovery = top.value("recovery", json::object());
     fleet::recovery::RecoverySettings& r = t.recovery;
     const std::string at = "/fleet/recovery";
--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -10,7 +10,7 @@
 using fleet::CoordinatorSettings;
 using T = CoordinatorSettings;
 using Members = fleet::members::MembersSettings;
-using Pace = fleet::pace::GossipScheduleSettings;
+using Gossip = fleet::pace::GossipScheduleSettings;
 using Recovery = fleet::recovery::RecoverySettings;
 using Leases = fleet::recovery::LeaseSettings;
 using Offices = fleet::recovery::OfficesSettings;
@@ -21,9 +21,9 @@
     entry<T, &T::members, &Members::period>("period"),
     entry<T, &T::members, &Members::probe_timeout>("probe_timeout"),
     entry<T, &T::members, &Members::indirect>("indirect", Severity::notice),
-    entry<T, &T::pace, &Pace::every>("every", Severity::notice),
-    entry<T, &T::pace, &Pace::urgent>("urgent", Severity::notice),
-    entry<T, &T::pace, &Pace::bytes>("bytes", Severity::notice),
+    entry<T, &T::gossip, &Gossip::interval>("every", Severity::notice),
+    entry<T, &T::gossip, &Gossip::urgent_interval>("urgent", Severity::notice),
+    entry<T, &T::gossip, &Gossip::bytes_per_second>("bytes", Severity::notice),
     entry<T, &T::recovery, &Recovery::leases, &Leases::min_size>("size"),
     entry<T, &T::recovery, &Recovery::leases, &Leases::lease>("lease"),
     entry<T, &T::recovery, &Recovery::max_asking>("asking"),
--- a/src/fleet/link/checks.cpp
+++ b/src/fleet/link/checks.cpp
@@ -47,7 +47,7 @@
 
 void check_bounds(const news::Message& news) {
   if (news.facts.empty()) wrong("facts", "none");
-  at_most(news.facts.size(), news::kMostFacts, "facts");
+  at_most(news.facts.size(), news::kMaxFactsPerMessage, "facts");
   for (std::size_t i = 0; i < news.facts.size(); ++i) {
     const facts::Fact& fact = news.facts[i];
     const std::string field = "facts[" + std::to_string(i) + "]";
@@ -55,7 +55,7 @@
     if (fact.key.kind != facts::Kind::office)
       wrong(field + ".kind", "no news: " + std::to_string(static_cast<unsigned>(fact.key.kind)));
     if (fact.deleted) wrong(field + ".deleted", "no news");
-    if (fact.value.size() > news::kMostValue)
+    if (fact.value.size() > news::kMaxValueBytes)
       wrong(field + ".value", std::to_string(fact.value.size()) + " bytes");
     check_fact(fact, field);
   }
--- a/src/fleet/link/connection.cpp
+++ b/src/fleet/link/connection.cpp
@@ -68,7 +68,7 @@
   limit(around_.settings.silent_most);
   std::optional<MemberId> who;
   try {
-    Said said{id_, decode_exchange(body_)};
+    ExchangeReceived said{id_, decode_exchange(body_)};
     around_.tell(std::move(said));
     co_return true;
   } catch (const CodecError& broken) {
--- a/src/fleet/link/from_wire.cpp
+++ b/src/fleet/link/from_wire.cpp
@@ -94,7 +94,7 @@
   no_more(n, "news");
   // Bounded before anything is copied.
   const auto facts = static_cast<std::size_t>(n.facts_size());
-  if (facts > news::kMostFacts) wrong("facts", std::to_string(facts) + " of them");
+  if (facts > news::kMaxFactsPerMessage) wrong("facts", std::to_string(facts) + " of them");
   for (int i = 0; i < n.facts_size(); ++i) {
     const wire::NewsFact& f = n.facts(i);
     const std::string field = place("facts", i);
--- a/src/fleet/news/news.cpp
+++ b/src/fleet/news/news.cpp
@@ -1,6 +1,4 @@
-// What is news, by what is known of the offices' lives; and what of a message is taken.
-//
-// Owns: nothing beyond its class. Must never: throw on what a peer says, or mark as known what it refuses.
+// Which facts are urgent, and which facts of a received message are accepted.
 #include "fleet/news/news.h"
 
 #include <algorithm>
@@ -11,145 +9,149 @@
 
 using recovery::Seen;
 
-constexpr std::size_t kMostLives = 4;     // addresses of one start
-constexpr std::size_t kMostAhead = 1024;  // facts told ahead of older ones
+constexpr std::size_t kMaxLifetimes = 4;          // addresses of one start
+constexpr std::size_t kMaxDeliveredAhead = 1024;  // facts delivered ahead of older ones
 
-bool is_over(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
+bool is_end(Seen seen) { return seen == Seen::draining || seen == Seen::gone; }
 
 std::optional<recovery::OfficeValue> read(const facts::Fact& fact) {
   if (fact.key.kind != facts::Kind::office || fact.deleted || fact.version == 0) return std::nullopt;
-  if (fact.key.subject > 0xffffffffU || fact.value.size() > kMostValue) return std::nullopt;
+  if (fact.key.subject > 0xffffffffU || fact.value.size() > kMaxValueBytes) return std::nullopt;
   return recovery::read_office(ServerId{static_cast<std::uint32_t>(fact.key.subject)}, fact.value);
 }
 
 }  // namespace
 
-bool News::Second::take(Time now, std::size_t much, std::size_t most) {
+bool EagerPush::RateWindow::take(Time now, std::size_t amount, std::size_t max) {
   if (since == Time::min() || now >= since + std::chrono::seconds(1)) {
     since = now;
-    taken = 0;
+    used = 0;
   }
-  if (taken + much > most) return false;
-  taken += much;
+  if (used + amount > max) return false;
+  used += amount;
   return true;
 }
 
-News::News(const EagerPushSettings& settings, MemberId self, std::uint64_t seed)
+EagerPush::EagerPush(const EagerPushSettings& settings, MemberId self, std::uint64_t seed)
     : settings_(settings), self_(self), draws_(seed ^ 0x6e657773ULL) {}
 
-bool News::is_news(const Value& value) const {
-  if (!value.told || (!is_over(value.told->seen) && value.told->seen != Seen::ready)) return false;
-  const bool over = is_over(value.told->seen);
+bool EagerPush::is_urgent(const Value& value) const {
+  if (!value.told || (!is_end(value.told->seen) && value.told->seen != Seen::ready)) return false;
+  const bool ended = is_end(value.told->seen);
   const auto found = known_.find(value.office.id);
-  if (found == known_.end()) return over && known_.size() < settings_.most_offices;
-  const Known& known = found->second;
+  if (found == known_.end()) return ended && known_.size() < settings_.max_offices;
+  const KnownOffice& known = found->second;
   if (value.office.start != known.start) return value.office.start > known.start;
-  const auto life = std::find_if(known.lives.begin(), known.lives.end(),
-                                 [&](const Life& l) { return l.at == value.office.at; });
-  if (life == known.lives.end()) return over && known.lives.size() < kMostLives;
-  return over && !life->over;
+  const auto lifetime = std::find_if(known.lifetimes.begin(), known.lifetimes.end(),
+                                     [&](const Lifetime& l) { return l.at == value.office.at; });
+  if (lifetime == known.lifetimes.end()) return ended && known.lifetimes.size() < kMaxLifetimes;
+  return ended && !lifetime->ended;
 }
 
-void News::know(MemberId by, const Value& value) {
-  if (!value.told || (!is_over(value.told->seen) && value.told->seen != Seen::ready)) return;
+void EagerPush::remember(MemberId reporter, const Value& value) {
+  if (!value.told || (!is_end(value.told->seen) && value.told->seen != Seen::ready)) return;
   const auto found = known_.find(value.office.id);
-  if (found == known_.end() && known_.size() >= settings_.most_offices) return;
-  Known& known = known_[value.office.id];
+  if (found == known_.end() && known_.size() >= settings_.max_offices) return;
+  KnownOffice& known = known_[value.office.id];
   if (value.office.start < known.start) return;
   if (value.office.start > known.start) known = {value.office.start, {}};
-  const bool over = is_over(value.told->seen);
-  const auto life = std::find_if(known.lives.begin(), known.lives.end(),
-                                 [&](const Life& l) { return l.at == value.office.at; });
-  if (life == known.lives.end()) {
-    if (known.lives.size() < kMostLives) known.lives.push_back({value.office.at, over, by});
+  const bool ended = is_end(value.told->seen);
+  const auto lifetime = std::find_if(known.lifetimes.begin(), known.lifetimes.end(),
+                                     [&](const Lifetime& l) { return l.at == value.office.at; });
+  if (lifetime == known.lifetimes.end()) {
+    if (known.lifetimes.size() < kMaxLifetimes) known.lifetimes.push_back({value.office.at, ended, reporter});
     return;
   }
-  // Of an unknown start (0) who called it over can take that back; see recovery/offices.h.
-  if (life->over && !over && (value.office.start != 0 || life->by != by)) return;
-  if (over && !life->over) life->by = by;
-  life->over = over;
+  // If the start is unknown (0), the member that reported the end may withdraw it; see recovery/offices.h.
+  if (lifetime->ended && !ended && (value.office.start != 0 || lifetime->ended_by != reporter)) return;
+  if (ended && !lifetime->ended) lifetime->ended_by = reporter;
+  lifetime->ended = ended;
 }
 
-bool News::fresh(Time now, MemberId of) {
-  const bool taken =
-      fresh_[of].take(now, 1, settings_.fresh_a_member) && all_fresh_.take(now, 1, settings_.fresh_a_second);
-  if (!taken) ++counts_.flooded;
-  return taken;
+bool EagerPush::admit(Time now, MemberId from) {
+  const bool admitted = admitted_[from].take(now, 1, settings_.max_urgent_per_member) &&
+                        all_admitted_.take(now, 1, settings_.max_urgent_per_second);
+  if (!admitted) ++counts_.rate_limited;
+  return admitted;
 }
 
-void News::wrote(Time now, const facts::Fact& fact) {
+void EagerPush::on_written(Time now, const facts::Fact& fact) {
   const auto value = read(fact);
   if (!value) return;
-  const bool news = is_news(*value);
-  know(self_, *value);
-  if (news) tell_on(now, fact, *value, self_);
+  const bool urgent = is_urgent(*value);
+  remember(self_, *value);
+  if (urgent) start_push(now, fact, *value, self_);
 }
 
-// One that was told ahead is not to be taken back by what its owner said before, to be news again after it.
-bool News::learnt(Time now, const facts::Fact& fact) {
-  if (outdated(fact)) return false;
+// A fact that was delivered ahead must not be undone by an older fact of its owner, or it would be urgent
+// once more afterwards.
+bool EagerPush::on_exchanged(Time now, const facts::Fact& fact) {
+  if (superseded(fact)) return false;
   const auto value = read(fact);
   if (!value) return true;
-  const bool news = is_news(*value) && fact.age <= settings_.most_age && fresh(now, fact.owner);
-  know(fact.owner, *value);
-  if (news) tell_on(now, fact, *value, fact.owner);
+  const bool urgent = is_urgent(*value) && fact.age <= settings_.max_age && admit(now, fact.owner);
+  remember(fact.owner, *value);
+  if (urgent) start_push(now, fact, *value, fact.owner);
   return true;
 }
 
-std::vector<facts::Fact> News::heard(Time now, const Message& message, const Live& live) {
-  ++counts_.in;
+std::vector<facts::Fact> EagerPush::on_message(Time now, const Message& message, const IsMember& is_member) {
+  ++counts_.messages_received;
   const MemberId from = message.envelope.from;
-  std::vector<facts::Fact> news;
+  std::vector<facts::Fact> urgent;
   for (const facts::Fact& fact : message.facts) {
     const auto value = read(fact);
     if (!value || !value->told) {
       ++counts_.malformed;
     } else if (fact.owner == self_) {
       ++counts_.own;
-    } else if (!live(from) || !live(fact.owner)) {
-      ++counts_.stranger;
-    } else if (fact.age > settings_.most_age || fact.age < Duration::zero()) {
-      ++counts_.old;
-    } else if (!is_news(*value)) {
+    } else if (!is_member(from) || !is_member(fact.owner)) {
+      ++counts_.non_member;
+    } else if (fact.age > settings_.max_age || fact.age < Duration::zero()) {
+      ++counts_.too_old;
+    } else if (!is_urgent(*value)) {
       ++counts_.known;
-      const auto telling = telling_.find({value->office.id, value->office.start, value->office.at});
-      if (telling == telling_.end()) continue;
-      telling->second.heard.insert(from);
-    } else if (fresh(now, from)) {
-      ++counts_.fresh;
-      know(fact.owner, *value);
-      tell_on(now, fact, *value, from);
-      news.push_back(fact);
+      const auto pushed = pushed_.find({value->office.id, value->office.start, value->office.at});
+      if (pushed == pushed_.end()) continue;
+      pushed->second.received_from.insert(from);
+    } else if (admit(now, from)) {
+      ++counts_.urgent;
+      remember(fact.owner, *value);
+      start_push(now, fact, *value, from);
+      urgent.push_back(fact);
     }
   }
-  return news;
+  return urgent;
 }
 
-void News::told_ahead(const facts::Fact& fact) {
-  if (ahead_.size() >= kMostAhead) ahead_.erase(ahead_.begin());
-  ahead_[{fact.owner, fact.key}] = {fact.incarnation, fact.version};
+void EagerPush::mark_delivered_ahead(const facts::Fact& fact) {
+  if (delivered_ahead_.size() >= kMaxDeliveredAhead) delivered_ahead_.erase(delivered_ahead_.begin());
+  delivered_ahead_[{fact.owner, fact.key}] = {fact.incarnation, fact.version};
 }
 
-bool News::outdated(const facts::Fact& fact) {
-  const auto found = ahead_.find({fact.owner, fact.key});
-  if (found == ahead_.end() || fact.deleted) return false;
+bool EagerPush::superseded(const facts::Fact& fact) {
+  const auto found = delivered_ahead_.find({fact.owner, fact.key});
+  if (found == delivered_ahead_.end() || fact.deleted) return false;
   if (std::pair(fact.incarnation, fact.version) < found->second) return true;
-  ahead_.erase(found);
+  delivered_ahead_.erase(found);
   return false;
 }
 
-void News::check() const {
-  const auto hold = [](bool holds, const char* what) {
-    if (!holds) throw std::logic_error(std::string("news: ") + what);
+void EagerPush::check() const {
+  const auto require = [](bool holds, const char* what) {
+    if (!holds) throw std::logic_error(std::string("eager push: ") + what);
   };
-  hold(known_.size() <= settings_.most_offices, "more offices than the bound");
-  hold(telling_.size() <= settings_.most_told, "more told on than the bound");
-  hold(ahead_.size() <= kMostAhead, "more told ahead than the bound");
-  hold(messages_.taken <= settings_.messages_a_second && bytes_.taken <= settings_.bytes_a_second,
-       "more sent in a second than the bound");
-  for (const auto& [id, known] : known_) hold(known.lives.size() <= kMostLives, "too many lives");
-  for (const auto& [meaning, telling] : telling_)
-    hold(telling.pushed < settings_.pushes.size() && !telling.heard.contains(MemberId{}), "told on for ever");
+  require(known_.size() <= settings_.max_offices, "too many offices");
+  require(pushed_.size() <= settings_.max_pushed, "too many facts being pushed");
+  require(delivered_ahead_.size() <= kMaxDeliveredAhead, "too many facts delivered ahead");
+  require(
+      messages_.used <= settings_.max_messages_per_second && bytes_.used <= settings_.max_bytes_per_second,
+      "more sent per second than allowed");
+  for (const auto& [id, known] : known_)
+    require(known.lifetimes.size() <= kMaxLifetimes, "too many lifetimes of an office");
+  for (const auto& [meaning, pushed] : pushed_)
+    require(pushed.pushes < settings_.push_delays.size() && !pushed.received_from.contains(MemberId{}),
+            "a finished push is still active");
 }
 
 }  // namespace reeltack::fleet::news
--- a/src/fleet/news/news.h
+++ b/src/fleet/news/news.h
@@ -1,26 +1,28 @@
-// News: which facts are too urgent for the next exchange, to whom they are pushed, how often, until when.
+// Eager push: sends urgent facts about offices to random members at once, ahead of the next exchange.
 //
-// A fact is news where it tells of an office, in the word of a list that its owner follows, that its life is
-// over (draining or gone) or that a newer start of it is there, and neither was known here. Whoever hears it
-// as news tells it on at once, to ceil(ln n) + 1 live members (n: how many live), drawn, and again after each
-// of `pushes` to others, or once all were told to the same, since ways lose datagrams; never to those whom it
-// came from. Then it is silent (infect and die: Demers et al. 1987).
-// Once it has heard the same from as many others as two pushes of its own reach, it stops (Demers's counter).
-// Besides, each push goes to kUnheard of those held dead: over a one-way link whoever is not heard is held
-// dead by those whom it hears, as they are by it, and no exchange ends that way. What is known by its meaning
-// (office, start, address) is not told on again, whoever owns the fact, so that 300 controllers that hear one
-// bulletin cost no more than one. What was lost or held back the next exchange brings: news is beside the
-// facts, never instead of them.
+// A fact is urgent if it reports, from the list that its owner follows, that a process lifetime of an office
+// has ended (draining or gone) or that a newer start of it exists, and neither was known here. A member that
+// receives such a fact forwards it at once to ceil(ln n) + 1 live members chosen at random (n: number of live
+// members). Because datagrams are lost it pushes again after each of `push_delays`, to members not yet sent
+// to, or, once all were, to those sent to least often; never to a member that the fact came from. Then it
+// stops (infect and die: Demers et al. 1987), or earlier, once it has received the same fact from as many
+// members as two of its own pushes reach (Demers's counter).
 //
-// Owns: what is known of lives, what is being told on, and the bounds of both. Must never: do I/O, read a
-// clock, draw what is not seeded, or judge an office; recovery does.
+// Each push also goes to kPushesToDead of the members held dead: over a one-way link a member that is not
+// heard is held dead by the members it hears, they by it, and no exchange between them completes. A fact
+// whose meaning (office, start, address) is known already is not forwarded, whoever owns it, so that 300
+// controllers that follow one bulletin cost no more than one. Push only speeds up the exchanges and never
+// replaces them: the next exchange delivers whatever was lost or withheld here.
 //
-// Refused and counted, each fact by itself: malformed (not of an office, no value of this program's form, no
-// version), stranger (its owner or its sender is no member, or has left), old (written longer ago than
-// most_age), own (of this controller), flooded (beyond what one member, or all, may bring as news in a
-// second). What goes out is bounded by the second in messages and bytes, for all together; what is beyond is
-// dropped and counted. Units: bytes as encoded_size() has them. Threads: none. Equal inputs give equal
-// outputs.
+// Received facts are rejected one by one and counted by cause: malformed (not an office fact, no value in
+// this program's form, no version), non_member (its owner or sender is no member, or has left), too_old
+// (written longer ago than max_age), own (owned by this member), rate_limited (above what one member, or all
+// together, may deliver as urgent facts per second). A rejected fact is not remembered as known, and nothing
+// that a peer sends makes this class throw. Outgoing messages and bytes are bounded per second over all
+// peers; what exceeds the bound is dropped and counted.
+//
+// No I/O, no clock and no unseeded randomness; offices are judged by recovery, not here. Units: bytes as
+// encoded_size() counts them. Not thread-safe. Deterministic: equal inputs give equal outputs.
 #pragma once
 
 #include <array>
@@ -43,103 +45,109 @@
   Envelope envelope;
   std::vector<facts::Fact> facts;  // of any owners; kind office, none deleted
 };
-inline constexpr std::size_t kMostFacts = 16;    // a message
-inline constexpr std::size_t kUnheard = 2;       // of those held dead, a push
-inline constexpr std::size_t kMostValue = 512;   // bytes of a fact's value
-inline constexpr std::size_t kMostBytes = 1200;  // a message, as encoded_size() has it
-// An upper bound of what the codec makes of it.
+inline constexpr std::size_t kMaxFactsPerMessage = 16;
+inline constexpr std::size_t kPushesToDead = 2;  // members held dead, per push
+inline constexpr std::size_t kMaxValueBytes = 512;
+inline constexpr std::size_t kMaxMessageBytes = 1200;  // as encoded_size() counts
+// Upper bounds of what the codec produces.
 [[nodiscard]] std::size_t encoded_size(const facts::Fact& fact);
 [[nodiscard]] std::size_t encoded_size(const Message& message);
 
 struct EagerPushSettings {
-  std::array<Duration, 3> pushes{Duration{}, std::chrono::milliseconds(60), std::chrono::milliseconds(160)};
-  Duration most_age = std::chrono::seconds(5);            // then several exchanges have had their turn
-  std::size_t most_offices = 2048;                        // whose lives are known; as recovery
-  std::size_t most_told = 64;                             // pieces of news that are told on at a time
-  std::size_t fresh_a_member = 64, fresh_a_second = 256;  // taken as news, a second
-  std::size_t messages_a_second = 256;                    // sent
-  std::size_t bytes_a_second = std::size_t{64} * 1024;    // sent
+  // Since the fact was received or written here.
+  std::array<Duration, 3> push_delays{Duration{}, std::chrono::milliseconds(60),
+                                      std::chrono::milliseconds(160)};
+  Duration max_age = std::chrono::seconds(5);  // by then several exchanges have delivered the fact
+  std::size_t max_offices = 2048;              // whose lifetimes are known; as in recovery
+  std::size_t max_pushed = 64;                 // facts that are being pushed at a time
+  std::size_t max_urgent_per_member = 64, max_urgent_per_second = 256;  // accepted per second
+  std::size_t max_messages_per_second = 256;                            // sent
+  std::size_t max_bytes_per_second = std::size_t{64} * 1024;            // sent
 };
 struct Counts {
-  std::uint64_t in = 0, out = 0, bytes_out = 0;  // messages heard and sent
-  std::uint64_t fresh = 0, known = 0;            // facts heard: news, or known before
-  std::uint64_t malformed = 0, stranger = 0, old = 0, own = 0, flooded = 0;  // facts refused
-  std::uint64_t held_back = 0;  // messages, and pieces of news, beyond the own bounds
-  [[nodiscard]] std::uint64_t refused() const { return malformed + stranger + old + own + flooded; }
+  std::uint64_t messages_received = 0, messages_sent = 0, bytes_sent = 0;
+  std::uint64_t urgent = 0, known = 0;  // facts received: urgent, or known before
+  std::uint64_t malformed = 0, non_member = 0, too_old = 0, own = 0, rate_limited = 0;  // facts rejected
+  std::uint64_t dropped = 0;  // outgoing messages and pushes above the bounds
+  [[nodiscard]] std::uint64_t refused() const {
+    return malformed + non_member + too_old + own + rate_limited;
+  }
 };
 struct Push {
   MemberId to{};
   std::vector<facts::Fact> facts;
 };
 
-class News {
+class EagerPush {
  public:
-  using Live = std::function<bool(MemberId)>;  // whether it is a member that has not left
+  using IsMember = std::function<bool(MemberId)>;  // whether it is a member that has not left
 
-  News(const EagerPushSettings& settings, MemberId self, std::uint64_t seed);
-  // An own fact was written, or another's came by an exchange; told on where it is news. False: it is older
-  // than one of its owner that was told ahead, says nothing here, and recovery is not to hear it.
-  void wrote(Time now, const facts::Fact& fact);
-  [[nodiscard]] bool learnt(Time now, const facts::Fact& fact);
-  // What of a message was news here, for recovery to be told; its facts' ages as they came.
-  [[nodiscard]] std::vector<facts::Fact> heard(Time now, const Message& message, const Live& live);
-  // It was heard as news while older facts of its owner are still to come by an exchange.
-  void told_ahead(const facts::Fact& fact);
-  // What is to be sent now; `live`: the other live members; `dead`: those held dead that have not left.
+  EagerPush(const EagerPushSettings& settings, MemberId self, std::uint64_t seed);
+  // An own fact was written; pushed if it is urgent.
+  void on_written(Time now, const facts::Fact& fact);
+  // A fact of another member came by an exchange; pushed if it is urgent. False: it is older than a fact of
+  // the same owner that was delivered ahead, carries nothing new and must not be reported to recovery.
+  [[nodiscard]] bool on_exchanged(Time now, const facts::Fact& fact);
+  // Returns the facts of the message that are urgent here, to be reported to recovery; ages as received.
+  [[nodiscard]] std::vector<facts::Fact> on_message(Time now, const Message& message,
+                                                    const IsMember& is_member);
+  // The fact was delivered by push while older facts of its owner are still to come by an exchange.
+  void mark_delivered_ahead(const facts::Fact& fact);
+  // What is to be sent now. `live`: the other live members; `dead`: members held dead that have not left.
   [[nodiscard]] std::vector<Push> due(Time now, std::span<const MemberId> live,
                                       std::span<const MemberId> dead = {});
-  [[nodiscard]] Time next() const;  // when due() is to be asked
+  [[nodiscard]] Time next() const;  // when due() is to be called
 
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  void check() const;  // throws std::logic_error where a bound does not hold
+  void check() const;  // throws std::logic_error where an invariant does not hold
 
  private:
-  struct Life {
+  struct Lifetime {  // of an office's process, at one address
     Endpoint at;
-    bool over = false;
-    MemberId by{};  // who called it so
+    bool ended = false;
+    MemberId ended_by{};  // the member that reported the end
   };
-  struct Known {
-    std::uint64_t start = 0;  // the newest one
-    std::vector<Life> lives;  // of this start, by address
+  struct KnownOffice {
+    std::uint64_t start = 0;          // the newest one
+    std::vector<Lifetime> lifetimes;  // of this start, by address
   };
-  struct Telling {
-    facts::Fact fact;  // its age at `at`
-    Time at{}, begun{};
-    std::size_t pushed = 0;
-    std::set<MemberId> heard;              // from whom it came; they know of it, as does its owner
-    std::map<MemberId, std::size_t> sent;  // to whom, how often
+  struct Pushed {      // a fact that is being pushed
+    facts::Fact fact;  // its age as of `age_at`
+    Time age_at{}, begun{};
+    std::size_t pushes = 0;            // done so far
+    std::set<MemberId> received_from;  // these members know the fact, as does its owner
+    std::map<MemberId, std::size_t> times_sent;
   };
-  struct Second {  // of a bound by the second
+  struct RateWindow {  // of a bound per second
     Time since = Time::min();
-    std::size_t taken = 0;
-    bool take(Time now, std::size_t much, std::size_t most);
+    std::size_t used = 0;
+    bool take(Time now, std::size_t amount, std::size_t max);
   };
   using Meaning = std::tuple<ServerId, std::uint64_t, Endpoint>;
   using Value = recovery::OfficeValue;
 
-  [[nodiscard]] bool outdated(const facts::Fact& fact);
-  [[nodiscard]] bool is_news(const Value& value) const;
-  void know(MemberId by, const Value& value);
-  bool fresh(Time now, MemberId of);  // within the bounds of what is taken
-  void tell_on(Time now, const facts::Fact& fact, const Value& value, MemberId from);
-  [[nodiscard]] Time due(const Telling& telling) const {
-    return telling.begun + settings_.pushes[telling.pushed];
+  [[nodiscard]] bool superseded(const facts::Fact& fact);
+  [[nodiscard]] bool is_urgent(const Value& value) const;
+  void remember(MemberId reporter, const Value& value);
+  bool admit(Time now, MemberId from);  // within the bounds on accepted facts
+  void start_push(Time now, const facts::Fact& fact, const Value& value, MemberId from);
+  [[nodiscard]] Time due_at(const Pushed& pushed) const {
+    return pushed.begun + settings_.push_delays[pushed.pushes];
   }
-  [[nodiscard]] bool over(Time now, const Telling& telling, std::size_t fan) const;
-  [[nodiscard]] std::vector<MemberId> draw(const Telling& telling, const std::vector<MemberId>& order,
-                                           std::size_t fan) const;
+  [[nodiscard]] bool finished(Time now, const Pushed& pushed, std::size_t fanout) const;
+  [[nodiscard]] std::vector<MemberId> select(const Pushed& pushed, const std::vector<MemberId>& order,
+                                             std::size_t fanout) const;
   [[nodiscard]] std::vector<MemberId> shuffled(std::span<const MemberId> members);
   void pack(Time now, MemberId to, const std::vector<facts::Fact>& facts, std::vector<Push>& out);
 
   EagerPushSettings settings_;
   MemberId self_;
   members::Draws draws_;
-  std::map<ServerId, Known> known_;
-  std::map<Meaning, Telling> telling_;
-  std::map<MemberId, Second> fresh_;
-  std::map<std::pair<MemberId, facts::Key>, std::pair<Incarnation, facts::Version>> ahead_;
-  Second all_fresh_, messages_, bytes_;
+  std::map<ServerId, KnownOffice> known_;
+  std::map<Meaning, Pushed> pushed_;
+  std::map<MemberId, RateWindow> admitted_;
+  std::map<std::pair<MemberId, facts::Key>, std::pair<Incarnation, facts::Version>> delivered_ahead_;
+  RateWindow all_admitted_, messages_, bytes_;
   Counts counts_;
 };
 
--- a/src/fleet/pace/pace.cpp
+++ b/src/fleet/pace/pace.cpp
@@ -9,7 +9,7 @@
 namespace reeltack::fleet::pace {
 namespace {
 
-constexpr std::size_t kLittle = 8;  // an eighth of the bytes
+constexpr std::size_t kUnproductiveRatio = 8;  // an eighth of the bytes
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 Duration duration(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
@@ -17,118 +17,130 @@
 
 }  // namespace
 
-Pace::Pace(const GossipScheduleSettings& settings, std::uint64_t seed)
-    : settings_(settings), draws_(seed ^ 0x70616365ULL), bytes_(static_cast<double>(settings.burst)) {}
+GossipSchedule::GossipSchedule(const GossipScheduleSettings& settings, std::uint64_t seed)
+    : settings_(settings), draws_(seed ^ 0x70616365ULL), balance_(static_cast<double>(settings.burst)) {}
 
-void Pace::begin(Time now) { begun_ = last_ = filled_ = now, part_ = 0.0; }
+void GossipSchedule::begin(Time now) { begun_ = last_begun_ = balance_at_ = now, jitter_ = 0.0; }
 
-void Pace::partners(std::span<const Partner> live) {
-  auto at = partners_.begin();
-  for (const Partner& partner : live) {
-    while (at != partners_.end() && at->first < partner.id) at = partners_.erase(at);
-    if (at == partners_.end() || at->first != partner.id) {
-      at = partners_.emplace_hint(at, partner.id, fresh(partner, live.size()));
-    } else if (partner.incarnation > std::exchange(at->second.incarnation, partner.incarnation)) {
-      at->second.anew = few(live.size());
+void GossipSchedule::set_peers(std::span<const Peer> live) {
+  auto at = peers_.begin();
+  for (const Peer& peer : live) {
+    while (at != peers_.end() && at->first < peer.id) at = peers_.erase(at);
+    if (at == peers_.end() || at->first != peer.id) {
+      at = peers_.emplace_hint(at, peer.id, new_peer(peer, live.size()));
+    } else if (peer.incarnation > std::exchange(at->second.incarnation, peer.incarnation)) {
+      at->second.restarted = prefers(live.size());
     }
     ++at;
   }
-  partners_.erase(at, partners_.end());
-  bytes_ = std::max(bytes_, -owed_most());
+  peers_.erase(at, peers_.end());
+  balance_ = std::max(balance_, -max_debt());
 }
 
-bool Pace::few(std::size_t of) { return draws_.below(std::max(of, kFan)) < kFan; }
+bool GossipSchedule::prefers(std::size_t members) {
+  return draws_.below(std::max(members, kPreferredBy)) < kPreferredBy;
+}
 
-// At a place in the round by lot: all who hear of a newcomer at once must not talk to it at once.
-Pace::Known Pace::fresh(const Partner& partner, std::size_t live) {
-  Known known{.incarnation = partner.incarnation, .lot = draws_.next()};
-  if (!partners_.empty() && !few(live))
-    known.talked = std::next(partners_.begin(), static_cast<std::ptrdiff_t>(draws_.below(partners_.size())))
-                       ->second.talked;
-  return known;
+// A new peer that is not preferred gets a random position in the round: members that learn of a newcomer at
+// the same time must not all begin an exchange with it at once.
+GossipSchedule::PeerState GossipSchedule::new_peer(const Peer& peer, std::size_t live) {
+  PeerState state{.incarnation = peer.incarnation, .tie_break = draws_.next()};
+  if (!peers_.empty() && !prefers(live))
+    state.last_exchange = std::next(peers_.begin(), static_cast<std::ptrdiff_t>(draws_.below(peers_.size())))
+                              ->second.last_exchange;
+  return state;
 }
 
-void Pace::changed(Time /*now*/) {
-  barren_ = 0;
-  telling_ = static_cast<std::size_t>(std::ceil(log()));
+void GossipSchedule::spread_change(Time /*now*/) {
+  unproductive_ = 0;
+  spread_left_ = static_cast<std::size_t>(std::ceil(log_members()));
 }
 
-void Pace::ended(Time now, const Ended& what) {
-  if (const auto with = partners_.find(what.with); with != partners_.end()) {
-    if (what.well) with->second.talked = now;
-    with->second.left = what.well && what.left;
+void GossipSchedule::exchange_ended(Time now, const ExchangeResult& result) {
+  if (const auto with = peers_.find(result.with); with != peers_.end()) {
+    if (result.completed) with->second.last_exchange = now;
+    with->second.truncated = result.completed && result.truncated;
   }
-  if (what.well) left_ = what.left;
-  if (!what.ours) return;
-  if (what.well) barren_ = kLittle * what.useful < what.bytes ? barren_ + 1 : 0;
-  bytes_ = std::max(full(now) - static_cast<double>(what.bytes), -owed_most());
-  filled_ = now;
+  if (result.completed) truncated_ = result.truncated;
+  if (!result.initiated_here) return;
+  if (result.completed)
+    unproductive_ = kUnproductiveRatio * result.useful < result.bytes ? unproductive_ + 1 : 0;
+  balance_ = std::max(balance(now) - static_cast<double>(result.bytes), -max_debt());
+  balance_at_ = now;
 }
 
-double Pace::log() const {
-  return std::log(std::max(static_cast<double>(partners_.size() + 1), std::exp(1.0)));
+double GossipSchedule::log_members() const {
+  return std::log(std::max(static_cast<double>(peers_.size() + 1), std::exp(1.0)));
+}
+Duration GossipSchedule::max_pause() const { return duration(seconds(settings_.max_pause) * log_members()); }
+double GossipSchedule::max_debt() const {
+  return static_cast<double>(settings_.bytes_per_second) * seconds(max_pause());
 }
-Duration Pace::longest() const { return duration(seconds(settings_.longest) * log()); }
-double Pace::owed_most() const { return static_cast<double>(settings_.bytes) * seconds(longest()); }
 
-double Pace::full(Time now) const {
-  const double since = std::max(seconds(now - filled_), 0.0);
-  return std::min(bytes_ + since * static_cast<double>(settings_.bytes),
+double GossipSchedule::balance(Time now) const {
+  const double since = std::max(seconds(now - balance_at_), 0.0);
+  return std::min(balance_ + since * static_cast<double>(settings_.bytes_per_second),
                   static_cast<double>(settings_.burst));
 }
 
-Time Pace::paid(Duration longest) const {
-  if (bytes_ >= 0.0) return last_;
+Time GossipSchedule::paid_at(Duration limit) const {
+  if (balance_ >= 0.0) return last_begun_;
   const Time paid =
-      filled_ + duration(-bytes_ / static_cast<double>(std::max<std::size_t>(settings_.bytes, 1)));
-  return std::min(paid, last_ + longest);
+      balance_at_ +
+      duration(-balance_ / static_cast<double>(std::max<std::size_t>(settings_.bytes_per_second, 1)));
+  return std::min(paid, last_begun_ + limit);
 }
 
-Duration Pace::grown(Duration from, Duration to) const {
-  return std::min(from * (Duration::rep{1} << std::min<std::size_t>(barren_, 10)), std::max(from, to));
+Duration GossipSchedule::backed_off(Duration from, Duration to) const {
+  return std::min(from * (Duration::rep{1} << std::min<std::size_t>(unproductive_, 10)), std::max(from, to));
 }
 
-Time Pace::next(bool returning) const {
-  if (begun_ == Time::max() || partners_.empty()) return Time::max();
-  const auto after = [this](Duration mean) { return last_ + duration(part_ * seconds(mean)); };
-  const bool pressed = telling_ > 0 || left_;
-  const Time urgent = after(settings_.urgent);
-  if (returning || young(urgent)) return pressed ? urgent : after(grown(settings_.urgent, settings_.every));
-  if (pressed) return std::max(urgent, paid(telling_ > 0 ? settings_.longest_telling : longest()));
-  return std::max(after(grown(settings_.every, settings_.idlest)), paid(longest()));
+Time GossipSchedule::next(bool returning) const {
+  if (begun_ == Time::max() || peers_.empty()) return Time::max();
+  const auto after = [this](Duration mean) { return last_begun_ + duration(jitter_ * seconds(mean)); };
+  const bool pressed = spread_left_ > 0 || truncated_;
+  const Time urgent = after(settings_.urgent_interval);
+  if (returning || in_startup(urgent))
+    return pressed ? urgent : after(backed_off(settings_.urgent_interval, settings_.interval));
+  if (pressed)
+    return std::max(urgent, paid_at(spread_left_ > 0 ? settings_.max_pause_spreading : max_pause()));
+  return std::max(after(backed_off(settings_.interval, settings_.max_idle_interval)), paid_at(max_pause()));
 }
 
-std::optional<MemberId> Pace::due(Time now, bool returning, bool room) {
+std::optional<MemberId> GossipSchedule::due(Time now, bool returning, bool has_capacity) {
   if (now < next(returning)) return std::nullopt;
-  last_ = now;
-  part_ = 0.75 + 0.5 * static_cast<double>(draws_.next() >> 11U) * 0x1.0p-53;
-  if (!room) return std::nullopt;
-  const std::optional<MemberId> with = whom();
+  last_begun_ = now;
+  jitter_ = 0.75 + 0.5 * static_cast<double>(draws_.next() >> 11U) * 0x1.0p-53;
+  if (!has_capacity) return std::nullopt;
+  const std::optional<MemberId> with = select();
   if (!with) return with;
-  Known& known = partners_.at(*with);
-  known.talked = now;  // whatever comes of it: who does not answer must not be asked again and again
-  known.lot = draws_.next();
-  known.anew = known.left = false;
-  if (telling_ > 0) --telling_;
-  left_ = false;
+  PeerState& peer = peers_.at(*with);
+  peer.last_exchange = now;  // whatever the outcome: a peer that does not answer is not selected repeatedly
+  peer.tie_break = draws_.next();
+  peer.restarted = peer.truncated = false;
+  if (spread_left_ > 0) --spread_left_;
+  truncated_ = false;
   return with;
 }
 
-std::optional<MemberId> Pace::whom() const {
-  const auto order = [](const Known& k) { return std::tuple(!k.anew, !k.left, k.talked, k.lot); };
-  const auto first = std::min_element(partners_.begin(), partners_.end(), [&](const auto& a, const auto& b) {
+std::optional<MemberId> GossipSchedule::select() const {
+  const auto order = [](const PeerState& p) {
+    return std::tuple(!p.restarted, !p.truncated, p.last_exchange, p.tie_break);
+  };
+  const auto first = std::min_element(peers_.begin(), peers_.end(), [&](const auto& a, const auto& b) {
     return order(a.second) < order(b.second);
   });
-  if (first == partners_.end()) return std::nullopt;
+  if (first == peers_.end()) return std::nullopt;
   return first->first;
 }
 
-void Pace::check() const {
-  if (bytes_ > static_cast<double>(settings_.burst))
-    throw std::logic_error("pace: more saved than the burst");
-  if (bytes_ < -owed_most()) throw std::logic_error("pace: more owed than the longest pause pays");
-  if (static_cast<double>(telling_) > std::ceil(std::log(1.0e6)))
-    throw std::logic_error("pace: more to tell than a rumour needs");
+void GossipSchedule::check() const {
+  if (balance_ > static_cast<double>(settings_.burst))
+    throw std::logic_error("gossip schedule: balance above the burst");
+  if (balance_ < -max_debt())
+    throw std::logic_error("gossip schedule: debt above what the longest pause pays");
+  if (static_cast<double>(spread_left_) > std::ceil(std::log(1.0e6)))
+    throw std::logic_error("gossip schedule: more exchanges to spread a change than needed");
 }
 
 }  // namespace reeltack::fleet::pace
--- a/src/fleet/pace/pace.h
+++ b/src/fleet/pace/pace.h
@@ -1,32 +1,35 @@
-// Pace: when the next exchange of facts is begun here, and with whom.
+// Gossip schedule: when this member begins its next anti-entropy exchange, and with whom.
 //
-// state        between two that are begun here                the budget of bytes
-// telling      `urgent`, for ceil(ln members) of them         a pause of `longest_telling` at most
-// catching up  `urgent`, while the last one left something    a pause of `longest` at most
-// returning    `urgent`; doubled after each that brought      does not hold, nor in the two above while
-//              little, up to `every`                          returning
-// quiet        `every`; doubled so, up to `idlest`            a pause of `longest` at most
+// state        mean interval between exchanges begun here      limit from the byte budget
+// spreading    `urgent_interval`, for ceil(ln members)         a pause of at most `max_pause_spreading`
+//              exchanges
+// catching up  `urgent_interval`, while the last exchange      a pause of at most `max_pause`
+//              was incomplete
+// returning    `urgent_interval`; doubled after each           none; nor in the two states above while
+//              unproductive exchange, up to `interval`         returning
+// quiet        `interval`; doubled in the same way, up to      a pause of at most `max_pause`
+//              `max_idle_interval`
 //
-// All in the mean, a quarter more or less by lot. Little: less than an eighth of the bytes. Returning: told
-// so (service is not back), or begun less than `young` ago. Telling: something of weight was written or
-// learnt here and nobody was told of it (changed()); as a rumour it goes to a few, and the quiet exchanges
-// bring it to the rest. Catching up: a delta could not carry all.
+// Intervals are means; each is jittered by up to a quarter either way. An exchange is unproductive if less
+// than an eighth of its bytes were facts that one side lacked. Returning: the caller reports that service is
+// not restored yet, or begin() was less than `startup_window` ago. Spreading: spread_change() reported an
+// important local change that no peer has received; like a rumour it goes to a few members, and the quiet
+// exchanges bring it to the rest. Catching up: a delta could not carry everything.
 //
-// The budget is a bucket: it fills by `bytes` a second up to `burst`, what an exchange cost both ways is
-// taken from it, and none is begun while it is empty. A debt is held to what `longest` pays: what is beyond
-// is forgiven; `longest` is 5 s at 12 members and 11 s at 300. So in the mean no more than max(`bytes`, one
-// exchange a `longest`) a second is spent here while quiet, however much there is to tell, and nobody is
-// silent for longer than `longest`.
+// The byte budget is a token bucket: it fills at `bytes_per_second` up to `burst`, the cost of an exchange in
+// both directions is taken from it, and no exchange begins while it is negative. The debt is limited to what
+// fills in a pause of `max_pause` times ln(members), which is 5 s at 12 members and 11 s at 300; the rest is
+// forgiven. So while quiet this member spends on average at most max(`bytes_per_second`, one exchange per
+// such pause), however much there is to send, and never pauses longer than that.
 //
-// Whom: of the live members first those who started anew (each newcomer is preferred by about kFan of all who
-// notice it, by lot), then those with whom something was left, then whoever was talked to least lately, no
-// matter who began; between equals by lot.
+// Partner selection among live members: first those that restarted (each newcomer is preferred by about
+// kPreferredBy of all members that notice it, chosen at random), then those whose last exchange was
+// incomplete, then the one with the least recent exchange, whichever side began it; ties are broken at
+// random.
 //
-// Owns: the bucket, what presses, and when each partner was talked to last. Must never: do I/O, read a clock,
-// draw what is not seeded, or know what an exchange carries.
-//
-// Units: bytes as encoded_size() of the exchange has them; times of the own steady clock, told. Threads:
-// none. Equal settings, seed and events give equal answers.
+// No I/O, no clock and no unseeded randomness; what an exchange carries is unknown here. Units: bytes as
+// encoded_size() of the exchange counts them; times of the local steady clock. Not thread-safe.
+// Deterministic: equal settings, seed and calls give equal answers.
 #pragma once
 
 #include <cstddef>
@@ -40,71 +43,75 @@
 namespace reeltack::fleet::pace {
 
 struct GossipScheduleSettings {
-  Duration every = std::chrono::seconds(1);
-  Duration idlest = std::chrono::seconds(2);
-  Duration urgent = std::chrono::milliseconds(200);
-  std::size_t bytes = 600;                             // a second, of exchanges begun here, both ways
-  std::size_t burst = std::size_t{8} * 1024;           // bytes
-  Duration longest = std::chrono::seconds(2);          // pause that a debt can mean, times ln(members)
-  Duration longest_telling = std::chrono::seconds(1);  // the same, while there is something to tell
-  Duration young = std::chrono::seconds(5);            // a start may yet turn out to be a return
+  Duration interval = std::chrono::seconds(1);
+  Duration max_idle_interval = std::chrono::seconds(2);
+  Duration urgent_interval = std::chrono::milliseconds(200);
+  std::size_t bytes_per_second = 600;                      // for exchanges begun here, both directions
+  std::size_t burst = std::size_t{8} * 1024;               // bytes
+  Duration max_pause = std::chrono::seconds(2);            // that a debt can cause, times ln(members)
+  Duration max_pause_spreading = std::chrono::seconds(1);  // the same while spreading a change
+  Duration startup_window = std::chrono::seconds(5);       // a start may yet turn out to be a return
 };
-inline constexpr std::size_t kFan = 3;
+inline constexpr std::size_t kPreferredBy = 3;
 
-struct Partner {  // a live member, oneself left out
+struct Peer {  // a live member other than this one
   MemberId id{};
   Incarnation incarnation = 0;
 };
-struct Ended {  // one exchange, whoever began it
+struct ExchangeResult {  // of one exchange, whichever side began it
   MemberId with{};
-  bool ours = false;
-  bool well = false;       // came to its end
-  bool left = false;       // and could not carry all
-  std::size_t bytes = 0;   // both ways
-  std::size_t useful = 0;  // of these, facts that one side lacked
+  bool initiated_here = false;
+  bool completed = false;
+  bool truncated = false;  // completed, but could not carry everything
+  std::size_t bytes = 0;   // both directions
+  std::size_t useful = 0;  // of these, bytes of facts that one side lacked
 };
 
-class Pace {
+class GossipSchedule {
  public:
-  Pace(const GossipScheduleSettings& settings, std::uint64_t seed);
-  void begin(Time now);                          // of a life: the first exchange is due
-  void partners(std::span<const Partner> live);  // whole and by id, after each change
-  void changed(Time now);                        // something of weight is to be told on
-  void ended(Time now, const Ended& what);
-  // Where one is due: with whom. To be asked from next() on; `room`: another one may be under way.
-  [[nodiscard]] std::optional<MemberId> due(Time now, bool returning, bool room);
+  GossipSchedule(const GossipScheduleSettings& settings, std::uint64_t seed);
+  void begin(Time now);                        // at start of the process: the first exchange is due
+  void set_peers(std::span<const Peer> live);  // all of them, ordered by id, after each change
+  void spread_change(Time now);                // an important change is to be spread at once
+  void exchange_ended(Time now, const ExchangeResult& result);
+  // The partner of the exchange that is to begin now, if one is due; called from next() on. `has_capacity`:
+  // another exchange may begin; otherwise this one is skipped.
+  [[nodiscard]] std::optional<MemberId> due(Time now, bool returning, bool has_capacity);
   [[nodiscard]] Time next(bool returning) const;
-  void check() const;  // throws std::logic_error where a bound does not hold
+  void check() const;  // throws std::logic_error where an invariant does not hold
 
  private:
-  struct Known {
+  struct PeerState {
     Incarnation incarnation = 0;
-    Time talked = Time::min();
-    std::uint64_t lot = 0;
-    bool anew = false, left = false;
+    Time last_exchange = Time::min();
+    std::uint64_t tie_break = 0;
+    bool restarted = false, truncated = false;
   };
-  [[nodiscard]] bool young(Time at) const { return begun_ != Time::max() && at < begun_ + settings_.young; }
-  [[nodiscard]] bool few(std::size_t of);  // by lot, kFan of so many
-  [[nodiscard]] Known fresh(const Partner& partner, std::size_t live);
-  [[nodiscard]] double log() const;                                // of the members, 1 at least
-  [[nodiscard]] Duration longest() const;                          // of this fleet
-  [[nodiscard]] double owed_most() const;                          // bytes
-  [[nodiscard]] Duration grown(Duration from, Duration to) const;  // by what the last ones brought
-  [[nodiscard]] Time paid(Duration longest) const;  // when the bucket holds something, or so long after last_
-  [[nodiscard]] double full(Time now) const;        // bytes in the bucket, negative: owed
-  [[nodiscard]] std::optional<MemberId> whom() const;
+  [[nodiscard]] bool in_startup(Time at) const {
+    return begun_ != Time::max() && at < begun_ + settings_.startup_window;
+  }
+  [[nodiscard]] bool prefers(std::size_t members);  // true with probability kPreferredBy / members
+  [[nodiscard]] PeerState new_peer(const Peer& peer, std::size_t live);
+  [[nodiscard]] double log_members() const;                             // natural logarithm, at least 1
+  [[nodiscard]] Duration max_pause() const;                             // for the present number of members
+  [[nodiscard]] double max_debt() const;                                // bytes
+  [[nodiscard]] Duration backed_off(Duration from, Duration to) const;  // after unproductive exchanges
+  // When the debt is paid, but no later than `limit` after the last exchange begun here.
+  [[nodiscard]] Time paid_at(Duration limit) const;
+  [[nodiscard]] double balance(Time now) const;  // bytes in the bucket; negative: debt
+  [[nodiscard]] std::optional<MemberId> select() const;
 
   GossipScheduleSettings settings_;
   members::Draws draws_;
-  std::map<MemberId, Known> partners_;
+  std::map<MemberId, PeerState> peers_;
   Time begun_ = Time::max();
-  Time last_ = Time::max();  // when one was begun here last
-  double part_ = 1.0;        // of the mean, drawn for the next
-  double bytes_ = 0.0;       // in the bucket at `filled_`
-  Time filled_{};
-  std::size_t telling_ = 0;  // exchanges that are still to tell of it
-  std::size_t barren_ = 0;   // of those begun here, in a row, that brought little
-  bool left_ = false;        // the last one left something
+  Time last_begun_ = Time::max();  // when the last exchange was begun here
+  double jitter_ = 1.0;            // factor on the next mean interval
+  double balance_ = 0.0;           // bytes in the bucket at `balance_at_`
+  Time balance_at_{};
+  std::size_t spread_left_ = 0;   // exchanges still to begin to spread a change
+  std::size_t unproductive_ = 0;  // consecutive unproductive exchanges begun here
+  bool truncated_ = false;        // the last exchange could not carry everything
 };
 
 }  // namespace reeltack::fleet::pace
--- a/src/fleet/service/counters.cpp
+++ b/src/fleet/service/counters.cpp
@@ -23,13 +23,13 @@
   }
   Slot& slot = *found->second;
   const sums::Effect effect = sums::effect_of(outcome);
-  grow(slot.stood, effect.stood);
+  grow(slot.stood, effect.established);
   grow(slot.refused, effect.refused);
   grow(slot.failed, effect.failed);
-  if (effect.shown == sums::Shown::nothing) return false;
-  slot.shown.store(now.time_since_epoch().count() * kKinds + static_cast<std::int64_t>(effect.shown),
+  if (effect.liveness == sums::Liveness::unknown) return false;
+  slot.shown.store(now.time_since_epoch().count() * kKinds + static_cast<std::int64_t>(effect.liveness),
                    std::memory_order_release);
-  return slot.alarm.rings(now, effect.shown);
+  return slot.alarm.fires(now, effect.liveness);
 }
 
 void Counters::read(std::vector<sums::Totals>& out) const {
@@ -39,10 +39,10 @@
     const std::int64_t shown = slot.shown.load(std::memory_order_acquire);
     sums::Totals& totals = out[at];
     totals.office = slot.office;
-    totals.stood = slot.stood.load(std::memory_order_relaxed);
+    totals.established = slot.stood.load(std::memory_order_relaxed);
     totals.refused = slot.refused.load(std::memory_order_relaxed);
     totals.failed = slot.failed.load(std::memory_order_relaxed);
-    totals.shown = static_cast<sums::Shown>(shown % kKinds);
+    totals.liveness = static_cast<sums::Liveness>(shown % kKinds);
     totals.at = Time{Duration{shown / kKinds}};
   }
 }
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/reading.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Reading::Reading(const core::Core& core, const Turn& turn, const config::Node& node, std::string file)
+Reading::Reading(const core::Core& core, const Coordinator& turn, const config::Node& node, std::string file)
     : core_(core), turn_(turn), node_(node), file_(std::move(file)) {}
 
 std::optional<drift::Version> Reading::read(std::string& why) const {
--- a/src/fleet/service/reading.h
+++ b/src/fleet/service/reading.h
@@ -19,7 +19,7 @@
 
 class Reading {
  public:
-  Reading(const core::Core& core, const Turn& turn, const config::Node& node, std::string file);
+  Reading(const core::Core& core, const Coordinator& turn, const config::Node& node, std::string file);
 
   // The file's version; none: there is no file, or it is refused, and `why` says so.
   [[nodiscard]] std::optional<drift::Version> read(std::string& why) const;
@@ -30,7 +30,7 @@
 
  private:
   const core::Core& core_;
-  const Turn& turn_;
+  const Coordinator& turn_;
   const config::Node node_;  // to read a file by: classes' names
   const std::string file_;
   Time next_ = Time::min();
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -163,7 +163,7 @@
   core::OfficeList& list_;
   Prepared prepared_;
   Keeping& keeping_;
-  Turn turn_;
+  Coordinator turn_;
   Reading reading_;
   TermsApplied applied_;
   Shown shown_;
--- a/src/fleet/service/shown.cpp
+++ b/src/fleet/service/shown.cpp
@@ -3,7 +3,7 @@
 
 namespace reeltack::fleet {
 
-void Shown::take(Time now, const Turn& turn) {
+void Shown::take(Time now, const Coordinator& turn) {
   if (now < taken_at_ + kApart) return;
   taken_at_ = now;
   const recovery::Recovery& r = turn.recovery();
@@ -31,16 +31,16 @@
   const CoordinatorCounters& c = turn.counts();
   exchanges_ = c.exchanges_completed;
   exchanges_failed_ = c.exchanges_failed;
-  refused_ = c.stranger + c.version + c.malformed + c.exchanges_refused;
+  refused_ = c.other_fleet + c.unsupported_version + c.malformed + c.exchanges_refused;
   flooded_ = c.flooded;
   over_bound_ = c.over_bound + turn.facts().counts().over_bound;
   stage_changes_ = c.stage_changes;
   list_number_ = r.list().number;
   list_digest_ = r.list().digest;
   list_wins_ = r.winning_list().digest;
-  const news::Counts& news = turn.news().counts();
-  news_in_ = news.in;
-  news_out_ = news.out;
+  const news::Counts& news = turn.eager_push().counts();
+  news_in_ = news.messages_received;
+  news_out_ = news.messages_sent;
   news_refused_ = news.refused();
   if (now >= rules_at_ + kRulesApart) take_rules(now, turn.drift());
 }
--- a/src/fleet/service/shown.h
+++ b/src/fleet/service/shown.h
@@ -13,7 +13,7 @@
 
 class Shown {
  public:
-  void take(Time now, const Turn& turn);  // at most every kApart; it looks at every office
+  void take(Time now, const Coordinator& turn);  // at most every kApart; it looks at every office
   // A line each, proxy.fleet_NAME=NUMBER; new names after the old.
   [[nodiscard]] std::string text(const link::LinkFigures& link) const;
   std::atomic<bool> settled{false};  // terms have been told
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/sightings.cpp
@@ -56,11 +56,11 @@
 }
 
 void Sightings::name(const recovery::Office& office) {
-  if (sums_.named(office)) return;
+  if (sums_.is_tracked(office)) return;
   counters_.read(totals_);
   const auto found = std::find_if(totals_.begin(), totals_.end(),
                                   [&](const sums::Totals& t) { return t.office == office.id; });
-  sums_.name(office, found == totals_.end() ? sums::Totals{} : *found);
+  sums_.track(office, found == totals_.end() ? sums::Totals{} : *found);
 }
 
 void Sightings::collect(Time now, std::vector<recovery::Event>& out) {
--- a/src/fleet/sums/sums.cpp
+++ b/src/fleet/sums/sums.cpp
@@ -1,6 +1,3 @@
-// The differences of totals, and what of them is worth telling.
-//
-// Owns: nothing beyond its classes. Must never: read a clock.
 #include "fleet/sums/sums.h"
 
 #include <stdexcept>
@@ -8,97 +5,100 @@
 namespace reeltack::fleet::sums {
 namespace {
 using namespace std::chrono_literals;
-constexpr Duration kGoodAgain = 500ms;  // an answer says little new so soon after one
-constexpr Duration kCarried = 1s;       // the least span over which what an office carries is counted
-recovery::Seen seen_of(Shown shown) {
-  if (shown == Shown::refuses) return recovery::Seen::refused;
-  return shown == Shown::silence ? recovery::Seen::silent : recovery::Seen::answered;
+constexpr Duration kAnswerRepeatInterval = 500ms;  // repeated answers add little within this time
+constexpr Duration kMinRateSpan = 1s;              // the shortest span over which a rate is measured
+recovery::Seen seen_of(Liveness liveness) {
+  if (liveness == Liveness::refusing) return recovery::Seen::refused;
+  return liveness == Liveness::silent ? recovery::Seen::silent : recovery::Seen::answered;
 }
-bool there(Shown shown) { return shown == Shown::answers; }
+bool is_answering(Liveness liveness) { return liveness == Liveness::answering; }
 }  // namespace
 
-// Within kSoon of the last alarm none is needed: whoever heard that one collects again by then.
-bool UrgencyTrigger::rings(Time now, Shown shown) {
-  if (shown == Shown::nothing) return false;
-  const bool turned = last_ == Shown::nothing || there(last_) != there(shown);
-  last_ = shown;
-  if (!turned || (rang_ != Time::min() && now < rang_ + kSoon)) return false;
-  rang_ = now;
+// Does not fire again within kFastReportInterval: the reader notified by the last trigger collects again by
+// then.
+bool UrgencyTrigger::fires(Time now, Liveness observed) {
+  if (observed == Liveness::unknown) return false;
+  const bool changed = last_ == Liveness::unknown || is_answering(last_) != is_answering(observed);
+  last_ = observed;
+  if (!changed || (fired_at_ != Time::min() && now < fired_at_ + kFastReportInterval)) return false;
+  fired_at_ = now;
   return true;
 }
 
-bool OutcomeReporter::named(const recovery::Office& office) const {
-  const auto found = lines_.find(office.id);
-  return found != lines_.end() && found->second.office.start == office.start &&
+bool OutcomeReporter::is_tracked(const recovery::Office& office) const {
+  const auto found = entries_.find(office.id);
+  return found != entries_.end() && found->second.office.start == office.start &&
          found->second.office.at == office.at;
 }
 
-void OutcomeReporter::name(const recovery::Office& office, const Totals& until_now) {
-  if (lines_.size() >= kMaxOffices && !lines_.contains(office.id)) return;
-  Line& line = lines_[office.id];
-  line = {};
-  line.office = office;
-  line.told = until_now;
+void OutcomeReporter::track(const recovery::Office& office, const Totals& until_now) {
+  if (entries_.size() >= kMaxOffices && !entries_.contains(office.id)) return;
+  Entry& entry = entries_[office.id];
+  entry = {};
+  entry.office = office;
+  entry.last_read = until_now;
 }
 
-void OutcomeReporter::collect(Time now, bool rang, std::span<const Totals> totals,
+void OutcomeReporter::collect(Time now, bool urgent, std::span<const Totals> totals,
                               std::vector<recovery::Event>& out) {
   for (const Totals& one : totals) {
-    const auto found = lines_.find(one.office);
-    if (found != lines_.end()) tell(now, found->second, one, out);
+    const auto found = entries_.find(one.office);
+    if (found != entries_.end()) report(now, found->second, one, out);
   }
   collected_ = now;
-  if (rang) soon_until_ = now + kSoon;
+  if (urgent) fast_until_ = now + kFastReportInterval;
 }
 
-void OutcomeReporter::tell(Time now, Line& line, const Totals& totals,
-                           std::vector<recovery::Event>& out) const {
-  const bool shown =
-      totals.shown != Shown::nothing && (totals.at != line.told.at || totals.shown != line.told.shown);
-  if (shown && (totals.shown != line.seen || !there(line.seen) || now >= line.seen_at + kGoodAgain)) {
-    line.seen = totals.shown;
-    line.seen_at = now;
-    out.emplace_back(recovery::OfficeObserved{{line.office, recovery::Rank::own, seen_of(totals.shown), self_,
-                                               std::max(now - totals.at, Duration{})}});
+void OutcomeReporter::report(Time now, Entry& entry, const Totals& totals,
+                             std::vector<recovery::Event>& out) const {
+  const bool observed = totals.liveness != Liveness::unknown &&
+                        (totals.at != entry.last_read.at || totals.liveness != entry.last_read.liveness);
+  if (observed && (totals.liveness != entry.reported || !is_answering(entry.reported) ||
+                   now >= entry.reported_at + kAnswerRepeatInterval)) {
+    entry.reported = totals.liveness;
+    entry.reported_at = now;
+    out.emplace_back(recovery::OfficeObserved{{entry.office, recovery::Rank::own, seen_of(totals.liveness),
+                                               self_, std::max(now - totals.at, Duration{})}});
   }
-  recovery::OfficeLoad pressure;
-  pressure.office = totals.office;
-  pressure.stood = totals.stood - line.told.stood;
-  pressure.refused = totals.refused - line.told.refused;
-  pressure.failed = totals.failed - line.told.failed;
-  if ((pressure.stood | pressure.refused | pressure.failed) != 0) out.emplace_back(pressure);
-  line.told = totals;
-  if (line.carried_from == Time::min()) {
-    line.carried_from = now;
-    line.carried_stood = totals.stood;
+  recovery::OfficeLoad load;
+  load.office = totals.office;
+  load.stood = totals.established - entry.last_read.established;
+  load.refused = totals.refused - entry.last_read.refused;
+  load.failed = totals.failed - entry.last_read.failed;
+  if ((load.stood | load.refused | load.failed) != 0) out.emplace_back(load);
+  entry.last_read = totals;
+  if (entry.rate_from == Time::min()) {
+    entry.rate_from = now;
+    entry.rate_base = totals.established;
   }
-  const Duration span = now - line.carried_from;
-  if (span < kCarried) return;
-  const double carried =
-      static_cast<double>(totals.stood - line.carried_stood) / std::chrono::duration<double>(span).count();
-  if (carried > 0.0 || line.carried > 0.0) out.emplace_back(recovery::CarriedRate{totals.office, carried});
-  line.carried = carried;
-  line.carried_from = now;
-  line.carried_stood = totals.stood;
+  const Duration span = now - entry.rate_from;
+  if (span < kMinRateSpan) return;
+  const double rate =
+      static_cast<double>(totals.established - entry.rate_base) / std::chrono::duration<double>(span).count();
+  if (rate > 0.0 || entry.reported_rate > 0.0) out.emplace_back(recovery::CarriedRate{totals.office, rate});
+  entry.reported_rate = rate;
+  entry.rate_from = now;
+  entry.rate_base = totals.established;
 }
 
 void OutcomeReporter::check(std::span<const Totals> totals) const {
-  const auto ahead = [](std::uint32_t told, std::uint32_t counted) {
-    return static_cast<std::int32_t>(counted - told) < 0;
+  const auto ahead = [](std::uint32_t reported, std::uint32_t counted) {
+    return static_cast<std::int32_t>(counted - reported) < 0;
   };
-  if (lines_.size() > kMaxOffices) throw std::logic_error("sums: over their bound");
+  if (entries_.size() > kMaxOffices) throw std::logic_error("outcome counters: too many offices");
   for (const Totals& one : totals) {
-    const auto found = lines_.find(one.office);
-    if (found == lines_.end()) continue;
-    const Totals& told = found->second.told;
-    if (ahead(told.stood, one.stood) || ahead(told.refused, one.refused) || ahead(told.failed, one.failed))
-      throw std::logic_error("sums: more was told than was counted");
+    const auto found = entries_.find(one.office);
+    if (found == entries_.end()) continue;
+    const Totals& last = found->second.last_read;
+    if (ahead(last.established, one.established) || ahead(last.refused, one.refused) ||
+        ahead(last.failed, one.failed))
+      throw std::logic_error("outcome counters: more outcomes reported than counted");
   }
 }
 
 Time OutcomeReporter::next(bool opens) const {
   if (collected_ == Time::min()) return Time::min();
-  return collected_ + (opens || collected_ < soon_until_ ? kSoon : kSlowReportInterval);
+  return collected_ + (opens || collected_ < fast_until_ ? kFastReportInterval : kSlowReportInterval);
 }
 
 }  // namespace reeltack::fleet::sums
--- a/src/fleet/turn/bounds.cpp
+++ b/src/fleet/turn/bounds.cpp
@@ -1,45 +1,45 @@
-// Bounds: whose messages are taken, and how many of one member's.
-//
-// Owns: nothing beyond its class. Must never: throw but from check().
+// Bounds: whose messages are accepted, and how many of each sender. Nothing here throws but check().
 #include <stdexcept>
 
 #include "fleet/turn/turn.h"
 
 namespace reeltack::fleet {
 
-bool Turn::ours(const Envelope& e) {
-  if (e.fleet != members_.self().fleet) return ++counts_.stranger, false;
-  if (e.version < kOldestVersion || e.version > kNewestVersion) return ++counts_.version, false;
+bool Coordinator::acceptable(const Envelope& e) {
+  if (e.fleet != members_.self().fleet) return ++counts_.other_fleet, false;
+  if (e.version < kOldestVersion || e.version > kNewestVersion) return ++counts_.unsupported_version, false;
   return true;
 }
 
-bool Turn::heard_too_often(Time now, MemberId from) {
-  const bool apart =
-      floods_.size() < settings_.strangers_apart || floods_.contains(from) || members_.table().contains(from);
-  Flood& flood = floods_[apart ? from : MemberId{}];
-  if (now >= flood.since + settings_.flood_span) flood = {now, 0};
-  if (++flood.messages <= settings_.flood_most) return false;
+bool Coordinator::rate_exceeded(Time now, MemberId from) {
+  const bool tracked = rates_.size() < settings_.max_tracked_senders || rates_.contains(from) ||
+                       members_.table().contains(from);
+  MessageRate& rate = rates_[tracked ? from : MemberId{}];
+  if (now >= rate.since + settings_.rate_window) rate = {now, 0};
+  if (++rate.messages <= settings_.max_messages_per_window) return false;
   ++counts_.flooded;
   return true;
 }
 
-// Every class may be open while members still hold different things for true of the offices.
-bool Turn::urgent() const { return recovery_.stage() != recovery::Stage::full || recovery_.recovering(); }
+// All classes may be open while members still disagree about the offices.
+bool Coordinator::returning() const {
+  return recovery_.stage() != recovery::Stage::full || recovery_.recovering();
+}
 
-Envelope Turn::envelope() const {
+Envelope Coordinator::envelope() const {
   const members::Self& self = members_.self();
   return {kNewestVersion, self.fleet, self.epoch, self.id, self.incarnation};
 }
 
-void Turn::check(Time now) const {
+void Coordinator::check(Time now) const {
   members_.check();
   facts_.check();
   recovery_.check(now);
-  news_.check();
-  pace_.check();
-  std::size_t in = 0;
-  for (const auto& [id, talk] : talks_) in += talk.ours ? 0 : 1;
-  if (in > settings_.exchanges_in) throw std::logic_error("more exchanges under way than the bound");
+  eager_push_.check();
+  gossip_.check();
+  std::size_t inbound = 0;
+  for (const auto& [id, exchange] : exchanges_) inbound += exchange.initiated_here ? 0 : 1;
+  if (inbound > settings_.max_inbound_exchanges) throw std::logic_error("too many inbound exchanges");
 }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/turn/kept.cpp
+++ b/src/fleet/turn/kept.cpp
@@ -1,6 +1,5 @@
-// Kept: the table of members as text for the store, and back.
-//
-// Owns: the form. Must never: throw on what it reads, or take a line that breaks a bound.
+// The table of members as text for the store, and its parser. The parser does not throw; it skips lines that
+// are malformed or exceed a bound.
 #include <charconv>
 
 #include "fleet/turn/turn.h"
@@ -8,8 +7,8 @@
 namespace reeltack::fleet {
 namespace {
 
-// Takes a field up to the next tab; false: there is none.
-bool field(std::string_view& line, std::string_view& out) {
+// Splits off the field up to the next tab. False: there is none left.
+bool next_field(std::string_view& line, std::string_view& out) {
   if (line.data() == nullptr) return false;
   const std::size_t tab = line.find('\t');
   out = line.substr(0, tab);
@@ -17,18 +16,18 @@
   return true;
 }
 template <typename Number>
-bool figure(std::string_view& line, Number& out) {
+bool next_number(std::string_view& line, Number& out) {
   std::string_view text;
-  if (!field(line, text)) return false;
+  if (!next_field(line, text)) return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
   return error == std::errc{} && end == text.data() + text.size();
 }
 
 }  // namespace
 
-std::string format_members(const members::Members& of) {
+std::string format_members(const members::Members& source) {
   std::string out;
-  for (const auto& [id, member] : of.table()) {
+  for (const auto& [id, member] : source.table()) {
     const members::Update& u = member.told;
     if (u.health == members::Health::left || (u.name + u.zone).find_first_of("\t\n") != std::string::npos)
       continue;
@@ -50,8 +49,8 @@
     members::Update u;
     std::string_view name;
     std::string_view zone;
-    if (!figure(line, id) || !figure(line, u.at.address) || !figure(line, u.at.port) ||
-        !figure(line, u.incarnation) || !field(line, name) || !field(line, zone))
+    if (!next_number(line, id) || !next_number(line, u.at.address) || !next_number(line, u.at.port) ||
+        !next_number(line, u.incarnation) || !next_field(line, name) || !next_field(line, zone))
       continue;
     if (id == 0 || u.at.port == 0 || name.size() > members::kMostName || zone.size() > members::kMaxZoneBytes)
       continue;
--- a/src/fleet/turn/people.cpp
+++ b/src/fleet/turn/people.cpp
@@ -1,4 +1,4 @@
-// What the turn tells of the members' table: to the log, to recovery and to the pace.
+// Changes of the members' table: logged, and passed on to recovery, the gossip schedule and drift.
 #include "fleet/turn/turn.h"
 
 namespace reeltack::fleet {
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Turn::log_change(const members::HealthChanged& change, CoordinatorActions& actions) const {
+void Coordinator::log_change(const members::HealthChanged& change, CoordinatorActions& actions) const {
   const auto found = members_.table().find(change.member);
   const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
   actions.emplace_back(
@@ -20,23 +20,23 @@
                         " reason=\"" + change.reason + "\""});
 }
 
-void Turn::tell_members(Time now, CoordinatorActions& actions) {
-  people_changed_ = true;
-  recovery::MembersChanged told;
-  told.live = members_.live();
-  for (const MemberId id : told.live) {
+void Coordinator::notify_members_changed(Time now, CoordinatorActions& actions) {
+  members_changed_ = true;
+  recovery::MembersChanged changed;
+  changed.live = members_.live();
+  for (const MemberId id : changed.live) {
     const auto found = members_.table().find(id);
-    told.incarnations.push_back(found == members_.table().end() ? members_.self().incarnation
-                                                                : found->second.told.incarnation);
+    changed.incarnations.push_back(found == members_.table().end() ? members_.self().incarnation
+                                                                   : found->second.told.incarnation);
   }
-  told.known = 1;
+  changed.known = 1;
   for (const auto& [id, member] : members_.table())
-    told.known += member.told.health != members::Health::left ? 1 : 0;
-  std::vector<pace::Partner> partners;
-  for (std::size_t i = 0; i < told.live.size(); ++i)
-    if (told.live[i] != members_.self().id) partners.push_back({told.live[i], told.incarnations[i]});
-  pace_.partners(partners);
-  decide(now, told, actions);
+    changed.known += member.told.health != members::Health::left ? 1 : 0;
+  std::vector<pace::Peer> peers;
+  for (std::size_t i = 0; i < changed.live.size(); ++i)
+    if (changed.live[i] != members_.self().id) peers.push_back({changed.live[i], changed.incarnations[i]});
+  gossip_.set_peers(peers);
+  decide(now, changed, actions);
 }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/turn/rules.cpp
+++ b/src/fleet/turn/rules.cpp
@@ -1,40 +1,40 @@
-// Drift's part in the turn: what it is told of members and facts, and what it wants.
+// Drift's part in a step: its events and the actions that it requests.
 #include "fleet/turn/turn.h"
 
 namespace reeltack::fleet {
 
-void Turn::rule(Time now, const drift::Event& event, CoordinatorActions& actions) {
-  rules_on_ = rules_on_ || std::holds_alternative<drift::RulesReadBack>(event);
-  drift::Actions told;
-  drift_.on(now, event, told);
-  take(now, told, actions);
+void Coordinator::on_drift(Time now, const drift::Event& event, CoordinatorActions& actions) {
+  rules_known_ = rules_known_ || std::holds_alternative<drift::RulesReadBack>(event);
+  drift::Actions wanted;
+  drift_.on(now, event, wanted);
+  apply(now, wanted, actions);
 }
 
-// Many members change in one turn, and the agreed size without any of them: drift is told of all of them
-// once.
-void Turn::tick_rules(Time now, CoordinatorActions& actions) {
-  if (!rules_on_) return;
-  if (people_changed_ || agreed_told_ != recovery_.largest()) {
-    people_changed_ = false;
-    agreed_told_ = recovery_.largest();
-    drift::Members told;
-    told.agreed = agreed_told_;
+// Several members may change in one step, and the agreed size may change without any of them; drift is
+// notified once of all of that.
+void Coordinator::tick_drift(Time now, CoordinatorActions& actions) {
+  if (!rules_known_) return;
+  if (members_changed_ || agreed_notified_ != recovery_.largest()) {
+    members_changed_ = false;
+    agreed_notified_ = recovery_.largest();
+    drift::Members changed;
+    changed.agreed = agreed_notified_;
     for (const auto& [id, member] : members_.table()) {
       if (id == members_.self().id || member.told.health == members::Health::left) continue;
       const bool alive =
           member.told.health == members::Health::alive || member.told.health == members::Health::suspect;
-      told.members.push_back({id, member.told.incarnation, member.told.name, member.told.zone, alive});
+      changed.members.push_back({id, member.told.incarnation, member.told.name, member.told.zone, alive});
     }
-    rule(now, told, actions);
+    on_drift(now, changed, actions);
   }
   if (now < drift_.next()) return;
-  drift::Actions told;
-  drift_.tick(now, told);
-  take(now, told, actions);
+  drift::Actions wanted;
+  drift_.tick(now, wanted);
+  apply(now, wanted, actions);
 }
 
-void Turn::take(Time now, const drift::Actions& told, CoordinatorActions& actions) {
-  for (const drift::Action& action : told) {
+void Coordinator::apply(Time now, const drift::Actions& wanted, CoordinatorActions& actions) {
+  for (const drift::Action& action : wanted) {
     if (const auto* publish = std::get_if<drift::Publish>(&action)) {
       if (!publish->value) {
         facts_.erase(now, publish->key);
@@ -42,7 +42,7 @@
         ++counts_.over_bound;
         continue;
       }
-      if (!publish->renewal) pace_.changed(now);  // told on at once: drift is to be found in seconds
+      if (!publish->renewal) gossip_.spread_change(now);  // drift is to be detected within seconds
     } else if (const auto* keep = std::get_if<drift::Keep>(&action)) {
       actions.emplace_back(Store{keep->key, keep->value, keep->vote});
     } else if (const auto* note = std::get_if<drift::Note>(&action)) {
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/turn/turn.cpp
@@ -7,14 +7,14 @@
 namespace reeltack::fleet {
 namespace {
 
-std::string words(const recovery::StageChanged& told) {
-  return std::string("from=") + name_of(told.from) + " to=" + name_of(told.to) + " reason=\"" + told.reason +
-         "\"";
+std::string text_of(const recovery::StageChanged& change) {
+  return std::string("from=") + name_of(change.from) + " to=" + name_of(change.to) + " reason=\"" +
+         change.reason + "\"";
 }
 std::string number(std::uint64_t value) { return std::to_string(value); }
 
-// Of what the terms say of each life.
-std::uint64_t verdicts(const recovery::Terms& terms) {
+// Hash of the lifetime and verdict of each office in the terms.
+std::uint64_t hash_of(const recovery::Terms& terms) {
   recovery::Hash hash;
   for (const recovery::Terms::Line& line : terms.offices) {
     hash.add(static_cast<std::uint64_t>(line.office.id))
@@ -25,8 +25,8 @@
   return hash.value();
 }
 
-constexpr Duration kFactsTick = std::chrono::seconds(1);    // it looks at every fact there is
-constexpr Duration kMembersKept = std::chrono::seconds(1);  // after a change: one write for many
+constexpr Duration kFactsTickInterval = std::chrono::seconds(1);  // a tick visits every fact
+constexpr Duration kStoreMembersDelay = std::chrono::seconds(1);  // one write for many changes
 
 }  // namespace
 
@@ -35,126 +35,128 @@
   return kNames[static_cast<int>(stage)];
 }
 
-Turn::Turn(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
-           std::uint64_t seed)
+Coordinator::Coordinator(const CoordinatorSettings& settings, const members::Self& self,
+                         std::span<const Endpoint> seeds, std::uint64_t seed)
     : settings_(settings),
       members_(settings.members, self, seeds, seed),
       facts_(settings.facts, self.id, self.incarnation),
       recovery_(settings.recovery, self.id),
-      news_(settings.news, self.id, seed),
-      pace_(settings.pace, seed),
+      eager_push_(settings.eager_push, self.id, seed),
+      gossip_(settings.gossip, seed),
       drift_(settings.drift, self.id) {}
 
-void Turn::begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> remembered,
-                 CoordinatorActions& actions) {
+void Coordinator::begin(Time now, std::optional<recovery::Kept> stored,
+                        std::span<const members::Update> remembered, CoordinatorActions& actions) {
   begun_ = true;
-  decide(now, recovery::Restored{std::move(kept)}, actions);
+  decide(now, recovery::Restored{std::move(stored)}, actions);
   members_.remember(remembered);
-  members::Actions told;
-  members_.begin(now, told);
-  take(now, told, actions);
+  members::Actions wanted;
+  members_.begin(now, wanted);
+  apply(now, wanted, actions);
   decide(now, recovery::LinkUp{}, actions);
-  pace_.begin(now);
-  tell_members(now, actions);
+  gossip_.begin(now);
+  notify_members_changed(now, actions);
 }
 
-void Turn::on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) {
+void Coordinator::on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) {
   if (left_) return;
-  if (const auto* datagram = std::get_if<MembershipReceived>(&event)) {
-    heard(now, datagram->message, actions);
-  } else if (const auto* news = std::get_if<PushReceived>(&event)) {
-    heard(now, news->message, actions);
+  if (const auto* membership = std::get_if<MembershipReceived>(&event)) {
+    on_membership(now, membership->message, actions);
+  } else if (const auto* push = std::get_if<PushReceived>(&event)) {
+    on_push(now, push->message, actions);
   } else if (const auto* core = std::get_if<CoreEvent>(&event)) {
     decide(now, core->event, actions);
   } else if (const auto* opened = std::get_if<Opened>(&event)) {
-    this->opened(*opened, actions);
+    on_opened(*opened, actions);
   } else if (const auto* accepted = std::get_if<Accepted>(&event)) {
-    this->accepted(now, *accepted, actions);
-  } else if (const auto* one = std::get_if<Said>(&event)) {
-    said(now, *one, actions);
+    on_accepted(now, *accepted, actions);
+  } else if (const auto* received = std::get_if<ExchangeReceived>(&event)) {
+    on_exchange(now, *received, actions);
   } else if (const auto* closed = std::get_if<Closed>(&event)) {
     end(now, closed->id, false, false, actions);
-  } else if (const auto* kept = std::get_if<IncarnationPersisted>(&event)) {
-    members::Actions told;
-    members_.incarnation_persisted(now, kept->to, told);
-    take(now, told, actions);
+  } else if (const auto* persisted = std::get_if<IncarnationPersisted>(&event)) {
+    members::Actions wanted;
+    members_.incarnation_persisted(now, persisted->to, wanted);
+    apply(now, wanted, actions);
   } else if (const auto* rules = std::get_if<DriftEvent>(&event)) {
-    rule(now, rules->event, actions);
+    on_drift(now, rules->event, actions);
   } else if (const auto* bad = std::get_if<Malformed>(&event)) {
     ++counts_.malformed;
-    if (bad->member) static_cast<void>(heard_too_often(now, *bad->member));
+    if (bad->member) static_cast<void>(rate_exceeded(now, *bad->member));
   }
-  push_news(now, actions);
+  send_pushes(now, actions);
 }
 
-void Turn::on_core_events(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions) {
+void Coordinator::on_core_events(Time now, std::span<const recovery::Event> events,
+                                 CoordinatorActions& actions) {
   if (begun_ && !left_ && !events.empty()) decide(now, events, actions);
 }
 
-void Turn::heard(Time now, const members::Message& message, CoordinatorActions& actions) {
-  if (!ours(message.envelope) || heard_too_often(now, message.envelope.from)) return;
-  members::Actions told;
-  members_.heard(now, message, told);
-  take(now, told, actions);
+void Coordinator::on_membership(Time now, const members::Message& message, CoordinatorActions& actions) {
+  if (!acceptable(message.envelope) || rate_exceeded(now, message.envelope.from)) return;
+  members::Actions wanted;
+  members_.heard(now, message, wanted);
+  apply(now, wanted, actions);
 }
 
-void Turn::tick(Time now, CoordinatorActions& actions) {
+void Coordinator::tick(Time now, CoordinatorActions& actions) {
   if (!begun_ || left_) return;
   if (now >= members_.next()) {
-    members::Actions told;
-    members_.tick(now, told);
-    take(now, told, actions);
+    members::Actions wanted;
+    members_.tick(now, wanted);
+    apply(now, wanted, actions);
   }
   if (now >= recovery_.next()) {
-    recovery::Actions told;
-    recovery_.tick(now, told);
-    take(now, told, actions);
+    recovery::Actions wanted;
+    recovery_.tick(now, wanted);
+    apply(now, wanted, actions);
   }
-  end_late(now, actions);
-  if (now >= facts_at_) {
+  end_overdue(now, actions);
+  if (now >= facts_tick_at_) {
     facts_.tick(now);
-    facts_at_ = now + kFactsTick;
+    facts_tick_at_ = now + kFactsTickInterval;
   }
-  std::erase_if(floods_, [&](const auto& f) { return now >= f.second.since + 2 * settings_.flood_span; });
-  tick_rules(now, actions);
+  std::erase_if(rates_, [&](const auto& r) { return now >= r.second.since + 2 * settings_.rate_window; });
+  tick_drift(now, actions);
   begin_exchange(now, actions);
-  push_news(now, actions);
-  if (now < members_at_) return;
-  members_at_ = Time::max();
+  send_pushes(now, actions);
+  if (now < store_members_at_) return;
+  store_members_at_ = Time::max();
   actions.emplace_back(Store{kMembersKey, format_members(members_), std::nullopt});
 }
 
-Time Turn::next() const {
+Time Coordinator::next() const {
   if (!begun_ || left_) return Time::max();
-  Time at = std::min({members_.next(), recovery_.next(), news_.next(), pace_.next(urgent()), members_at_});
-  if (rules_on_) at = std::min(at, drift_.next());
-  for (const auto& [id, talk] : talks_) at = std::min(at, talk.by);
+  Time at = std::min(
+      {members_.next(), recovery_.next(), eager_push_.next(), gossip_.next(returning()), store_members_at_});
+  if (rules_known_) at = std::min(at, drift_.next());
+  for (const auto& [id, exchange] : exchanges_) at = std::min(at, exchange.deadline);
   return at;
 }
 
-void Turn::leave(Time now, CoordinatorActions& actions) {
+void Coordinator::leave(Time now, CoordinatorActions& actions) {
   if (!begun_ || left_) return;
-  members::Actions told;
-  members_.leave(now, told);
-  take(now, told, actions);
-  for (const auto& [id, talk] : talks_) actions.emplace_back(CloseConnection{id});
-  talks_.clear();
+  members::Actions wanted;
+  members_.leave(now, wanted);
+  apply(now, wanted, actions);
+  for (const auto& [id, exchange] : exchanges_) actions.emplace_back(CloseConnection{id});
+  exchanges_.clear();
   left_ = true;
 }
 
-// ---- what the deciders want
+// ---- actions requested by the components
 
-void Turn::take(Time now, const members::Actions& told, CoordinatorActions& actions) {
+void Coordinator::apply(Time now, const members::Actions& wanted, CoordinatorActions& actions) {
   bool changed = false;
   facts_.raise(members_.self().incarnation);
-  for (const members::Action& action : told) {
+  for (const members::Action& action : wanted) {
     if (const auto* send = std::get_if<members::Send>(&action)) {
       actions.emplace_back(SendMembership{send->to, send->member, send->message});
     } else if (const auto* raised = std::get_if<members::PersistIncarnation>(&action)) {
       actions.emplace_back(Store{kIncarnationKey, number(raised->to), std::nullopt});
-    } else if (const auto* namesake = std::get_if<members::DuplicateName>(&action)) {
-      actions.emplace_back(Log{"namesake", "incarnation=" + number(namesake->incarnation) +
-                                               " reason=\"another process speaks under this name\""});
+    } else if (const auto* duplicate = std::get_if<members::DuplicateName>(&action)) {
+      actions.emplace_back(Log{"namesake", "incarnation=" + number(duplicate->incarnation) +
+                                               " reason=\"another process uses this name\""});
     } else if (const auto* change = std::get_if<members::HealthChanged>(&action)) {
       changed = true;
       log_change(*change, actions);
@@ -164,28 +166,28 @@
       }
     }
   }
-  // A start anew that nobody saw as a death shows by its incarnation alone.
+  // A restart that no member observed as a death shows only in the incarnation.
   const std::uint64_t sum = members_.incarnations();
   if (!changed && sum == incarnations_) return;
   incarnations_ = sum;
-  members_at_ = std::min(members_at_, now + kMembersKept);
-  tell_members(now, actions);
+  store_members_at_ = std::min(store_members_at_, now + kStoreMembersDelay);
+  notify_members_changed(now, actions);
 }
 
-void Turn::decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions) {
-  recovery::Actions told;
-  recovery_.on(now, events, told);
-  take(now, told, actions);
+void Coordinator::decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions) {
+  recovery::Actions wanted;
+  recovery_.on(now, events, wanted);
+  apply(now, wanted, actions);
 }
 
-void Turn::take(Time now, const recovery::Actions& told, CoordinatorActions& actions) {
-  for (const recovery::Action& action : told) {
+void Coordinator::apply(Time now, const recovery::Actions& wanted, CoordinatorActions& actions) {
+  for (const recovery::Action& action : wanted) {
     if (const auto* stage = std::get_if<recovery::StageChanged>(&action)) {
       ++counts_.stage_changes;
-      actions.emplace_back(Log{"stage", words(*stage)});
-      pace_.changed(now);
+      actions.emplace_back(Log{"stage", text_of(*stage)});
+      gossip_.spread_change(now);
     } else if (const auto* terms = std::get_if<recovery::Terms>(&action)) {
-      verdicts_ = verdicts(*terms);
+      verdicts_ = hash_of(*terms);
       actions.emplace_back(ApplyTerms{*terms});
     } else if (const auto* publish = std::get_if<recovery::Publish>(&action)) {
       if (!publish->value) {
@@ -193,7 +195,7 @@
       } else if (!facts_.put(now, publish->key, *publish->value)) {
         ++counts_.over_bound;
       } else {
-        wrote(now, publish->key);
+        fact_written(now, publish->key);
       }
     } else if (const auto* keep = std::get_if<recovery::Keep>(&action)) {
       actions.emplace_back(Store{keep->key, keep->value, std::nullopt});
@@ -203,21 +205,22 @@
   }
 }
 
-void Turn::take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions) {
+void Coordinator::apply(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions) {
   if (taken.conflicting_incarnation > members_.self().incarnation) {
-    actions.emplace_back(Log{"namesake", "incarnation=" + number(taken.conflicting_incarnation) +
-                                             " reason=\"facts of this controller that it has not written\""});
+    actions.emplace_back(
+        Log{"namesake", "incarnation=" + number(taken.conflicting_incarnation) +
+                            " reason=\"received facts of this controller that it did not write\""});
   }
-  std::vector<recovery::Event> told;
+  std::vector<recovery::Event> received;
   for (const facts::Fact& fact : taken.changed) {
     if (fact.owner == members_.self().id) continue;
     if (fact.key.kind >= facts::Kind::vote) {
-      rule(now, drift::Told{fact}, actions);
+      on_drift(now, drift::Told{fact}, actions);
       continue;
     }
-    if (news_.learnt(now, fact)) told.emplace_back(recovery::FactReceived{fact});
+    if (eager_push_.on_exchanged(now, fact)) received.emplace_back(recovery::FactReceived{fact});
   }
-  if (!told.empty()) decide(now, told, actions);
+  if (!received.empty()) decide(now, received, actions);
 }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/turn/turn.h
+++ b/src/fleet/turn/turn.h
@@ -1,13 +1,14 @@
-// One turn of the fleet in one controller: takes what came (from the link, the store, the core, the clock
-// told), asks members, facts and recovery, and hands out what is to be done.
+// Coordinator of the fleet's components in one controller.
 //
-// Owns: the six deciders, the exchanges under way, and the order between them: what must last is handed to
-// the
-//   store before a peer is told of it.
-// Must never: do I/O, read a clock, know a socket or an encoding, or wait for anything.
+// It takes the events (from the link, the store, the core and the clock), passes them to members, facts,
+// recovery, eager push, gossip schedule and drift, and returns the resulting actions. It holds these six
+// components and the running exchanges, and keeps their order: what must be durable is handed to the store
+// before a peer is sent it.
 //
-// The link in service, the simulation of 300 and the tests of single cases all drive this class. Threads:
-// none; one thread at a time. Equal settings, seed and events give equal actions.
+// No I/O and no clock; it knows neither sockets nor encodings and waits for nothing. The link in service, the
+// simulation of 300 controllers and the unit tests drive the same class. Not thread-safe: one thread at a
+// time. Deterministic: equal settings, seed and events give equal actions. Times are of the local steady
+// clock.
 #pragma once
 
 #include <map>
@@ -27,14 +28,14 @@
 
 namespace reeltack::fleet {
 
-// One exchange on one TCP connection: even where this side dialled (as numbered here), odd where it came in
-// (as numbered by the link).
+// Of an exchange and its TCP connection: even if dialled here, odd if accepted (then numbered by the link).
 enum class ConnectionId : std::uint64_t {};
 inline constexpr const char* kIncarnationKey = "incarnation";  // in the store; a number as text
 inline constexpr const char* kMembersKey = "members";          // in the store; see format_members()
 
-// One message of an exchange, either way. The asker: summary -> digest (of the buckets that differ, with the
-// own lines in them) -> delta and own digest -> delta. Each step names what it carries; the rest is empty.
+// One message of an exchange, in either direction. The initiator sends a summary; the answer is a digest of
+// the buckets that differ, with the sender's own lines in them; then delta and own digest; then delta. Each
+// step fills the fields named for it, the others are empty.
 struct Exchange {
   Envelope envelope;
   std::uint32_t step = 0;  // 0 summary, 1 digest, 2 delta and digest, 3 delta
@@ -43,68 +44,67 @@
   facts::Delta delta;      // steps 2 and 3
 };
 const char* name_of(recovery::Stage stage);
-// The table as the store keeps it: a line each, ID ADDRESS PORT INCARNATION NAME ZONE by tabs;
-// what cannot be read is left out.
-std::string format_members(const members::Members& of);
+// The table of members as stored: one line each, ID ADDRESS PORT INCARNATION NAME ZONE, separated by tabs.
+// parse_members() skips lines that it cannot read and never throws.
+std::string format_members(const members::Members& source);
 std::vector<members::Update> parse_members(const std::string& text);
-std::size_t encoded_size(const Exchange& exchange);                       // about; bytes
-inline constexpr std::size_t kMaxExchangeBytes = std::size_t{16} * 1024;  // bytes on the wire
+std::size_t encoded_size(const Exchange& exchange);                       // estimate in bytes
+inline constexpr std::size_t kMaxExchangeBytes = std::size_t{16} * 1024;  // of a message on the wire
 
 struct CoordinatorSettings {
   members::MembersSettings members;
-  // A delta with what is asked for beside it must fit into kMaxExchangeBytes.
+  // A delta and the digest sent with it must fit into kMaxExchangeBytes.
   facts::FactsSettings facts{.max_delta_bytes = std::size_t{9} * 1024};
   recovery::RecoverySettings recovery;
-  news::EagerPushSettings news;
-  pace::GossipScheduleSettings pace;
+  news::EagerPushSettings eager_push;
+  pace::GossipScheduleSettings gossip;
   drift::DriftSettings drift;
-  Duration exchange_most = std::chrono::seconds(2);  // an exchange that has not ended by then is closed
-  std::size_t exchanges_in = 8;                      // under way that others began
-  Duration flood_span = std::chrono::seconds(1);
-  std::size_t flood_most = 200;  // messages of one member a flood_span; then it is not heard
-  // Of who is no member: so many are counted each by itself, further ones as one; and above so many bytes of
-  // facts nothing is taken of owners who are none.
-  std::size_t strangers_apart = 1024;
-  std::size_t strangers_room = std::size_t{1024} * 1024;
+  Duration exchange_timeout = std::chrono::seconds(2);  // an exchange that takes longer is closed
+  std::size_t max_inbound_exchanges = 8;                // running at a time
+  Duration rate_window = std::chrono::seconds(1);
+  std::size_t max_messages_per_window = 200;  // of one member; further ones are ignored
+  std::size_t max_tracked_senders = 1024;     // that are not members; further ones share one count
+  // Above so many bytes of facts none are accepted of owners that are not members.
+  std::size_t max_bytes_with_non_members = std::size_t{1024} * 1024;
 };
 
-// ---- what comes. Times are of the own steady clock.
+// ---- events
 struct MembershipReceived {
   members::Message message;
 };
 struct PushReceived {
   news::Message message;
 };
-struct Opened {
+struct Opened {  // the connection that Dial requested is established
   ConnectionId id{};
   MemberId member{};
-};  // a connection that dial() asked for is up
-struct Accepted {
+};
+struct Accepted {  // a peer has connected
   ConnectionId id{};
-};  // one came in
-struct Said {
+};
+struct ExchangeReceived {
   ConnectionId id{};
   Exchange exchange;
 };
-struct Closed {
+struct Closed {  // by the peer, or it was never established
   ConnectionId id{};
-};                             // by the far end, or it never came up
-struct IncarnationPersisted {  // the store holds what Store{kIncarnationKey} asked for
+};
+struct IncarnationPersisted {  // the store holds the value of Store{kIncarnationKey}
   Incarnation to = 0;
 };
-struct CoreEvent {
+struct CoreEvent {  // evidence, list, load
   recovery::Event event;
-};  // evidence, list, pressure
-struct Malformed {
+};
+struct Malformed {  // a message could not be decoded
   std::optional<MemberId> member;
-};                   // a message that could not be read
-struct DriftEvent {  // of the own process: what it decides by, what the store held, a version; not of members
+};
+struct DriftEvent {  // of this process: active rules, stored records, a version; not of members
   drift::Event event;
 };
-using CoordinatorEvent = std::variant<MembershipReceived, Opened, Accepted, Said, Closed, CoreEvent,
-                                      IncarnationPersisted, Malformed, PushReceived, DriftEvent>;
+using CoordinatorEvent = std::variant<MembershipReceived, Opened, Accepted, ExchangeReceived, Closed,
+                                      CoreEvent, IncarnationPersisted, Malformed, PushReceived, DriftEvent>;
 
-// ---- what is to be done, in this order.
+// ---- actions, to be carried out in order
 struct SendMembership {
   Endpoint to{};
   MemberId member{};
@@ -130,117 +130,118 @@
 struct Store {
   std::string key;
   std::string value;
-  std::optional<drift::Vote> vote;  // to be told by drift::VotePersisted once it lasts
+  std::optional<drift::Vote> vote;  // to be reported by drift::VotePersisted once it is durable
 };
 struct ApplyTerms {
   recovery::Terms terms;
 };
-struct Log {
+struct Log {  // structured: event name, then key=value pairs
   std::string event;
   std::string text;
-};  // structured: event name, then key=value words
+};
 using CoordinatorAction =
     std::variant<SendMembership, Dial, SendExchange, CloseConnection, Store, ApplyTerms, Log, SendPush>;
 using CoordinatorActions = std::vector<CoordinatorAction>;
 
 struct CoordinatorCounters {
   std::uint64_t exchanges_started = 0, exchanges_completed = 0, exchanges_failed = 0, exchanges_refused = 0;
-  std::uint64_t flooded = 0, malformed = 0, stranger = 0, version = 0;
+  std::uint64_t flooded = 0, malformed = 0, other_fleet = 0, unsupported_version = 0;  // messages rejected
   std::uint64_t over_bound = 0, stage_changes = 0;
 };
 
-class Turn {
+class Coordinator {
  public:
-  Turn(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
-       std::uint64_t seed);
+  Coordinator(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
+              std::uint64_t seed);
 
-  // What the store held, or nothing; then the link is up (never called where the fleet cannot be asked).
-  void begin(Time now, std::optional<recovery::Kept> kept, std::span<const members::Update> members,
+  // Starts with what the store held, if anything; the link is up (not called if the fleet cannot be reached).
+  void begin(Time now, std::optional<recovery::Kept> stored, std::span<const members::Update> remembered,
              CoordinatorActions& actions);
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions);
-  // What the core has seen, in its order; decided on once, where CoreEvent is decided on one by one.
+  // Events of the core in their order, evaluated together; each CoreEvent is evaluated by itself.
   void on_core_events(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions);
   void tick(Time now, CoordinatorActions& actions);
   void leave(Time now, CoordinatorActions& actions);
-  [[nodiscard]] Time next() const;
+  [[nodiscard]] Time next() const;  // when tick() is due
 
   [[nodiscard]] const members::Members& members() const { return members_; }
   [[nodiscard]] const facts::Facts& facts() const { return facts_; }
   [[nodiscard]] const recovery::Recovery& recovery() const { return recovery_; }
-  [[nodiscard]] const news::News& news() const { return news_; }
+  [[nodiscard]] const news::EagerPush& eager_push() const { return eager_push_; }
   [[nodiscard]] const drift::Drift& drift() const { return drift_; }
   [[nodiscard]] const CoordinatorSettings& settings() const { return settings_; }
   [[nodiscard]] const CoordinatorCounters& counts() const { return counts_; }
-  void check(Time now) const;
+  void check(Time now) const;  // throws std::logic_error where an invariant does not hold
 
  private:
-  struct Talk {  // an exchange under way
+  struct RunningExchange {
     MemberId with{};
-    bool ours = false;
-    std::uint32_t step = 0;  // last said here
-    Time by{};
-    std::size_t bytes = 0, useful = 0;  // both ways; of these, facts
-    bool left = false;                  // a delta was full
+    bool initiated_here = false;
+    std::uint32_t step = 0;  // of the last message sent
+    Time deadline{};
+    std::size_t bytes = 0, useful = 0;  // both directions; of these, facts
+    bool truncated = false;             // a delta was full
   };
-  struct Flood {
+  struct MessageRate {
     Time since{};
     std::size_t messages = 0;
   };
-  void heard(Time now, const members::Message& message, CoordinatorActions& actions);
-  void take(Time now, const members::Actions& told, CoordinatorActions& actions);
-  void take(Time now, const recovery::Actions& told, CoordinatorActions& actions);
-  void take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions);
-  void take(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
+  void on_membership(Time now, const members::Message& message, CoordinatorActions& actions);
+  void apply(Time now, const members::Actions& wanted, CoordinatorActions& actions);
+  void apply(Time now, const recovery::Actions& wanted, CoordinatorActions& actions);
+  void apply(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions);
+  void apply(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
   // urgent.cpp
-  void heard(Time now, const news::Message& message, CoordinatorActions& actions);
-  void hand(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions);
+  void on_push(Time now, const news::Message& message, CoordinatorActions& actions);
+  void deliver(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions);
   void log_refused(Time now, MemberId from, const news::Counts& before, CoordinatorActions& actions);
-  void wrote(Time now, const facts::Key& key);
-  void push_news(Time now, CoordinatorActions& actions);
-  [[nodiscard]] bool belongs(MemberId member) const;
+  void fact_written(Time now, const facts::Key& key);
+  void send_pushes(Time now, CoordinatorActions& actions);
+  [[nodiscard]] bool is_member(MemberId member) const;
+  // people.cpp
   void log_change(const members::HealthChanged& change, CoordinatorActions& actions) const;
-  void tell_members(Time now, CoordinatorActions& actions);
+  void notify_members_changed(Time now, CoordinatorActions& actions);
   void decide(Time now, const recovery::Event& event, CoordinatorActions& actions) {
     decide(now, std::span(&event, 1), actions);
   }
   void decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions);
   // rules.cpp
-  void rule(Time now, const drift::Event& event, CoordinatorActions& actions);
-  void take(Time now, const drift::Actions& told, CoordinatorActions& actions);
-  void tick_rules(Time now, CoordinatorActions& actions);
-  // talks
+  void on_drift(Time now, const drift::Event& event, CoordinatorActions& actions);
+  void apply(Time now, const drift::Actions& wanted, CoordinatorActions& actions);
+  void tick_drift(Time now, CoordinatorActions& actions);
+  // talks.cpp
   void begin_exchange(Time now, CoordinatorActions& actions);
-  void opened(const Opened& opened, CoordinatorActions& actions);
-  void accepted(Time now, const Accepted& accepted, CoordinatorActions& actions);
-  void said(Time now, const Said& said, CoordinatorActions& actions);
-  void say(ConnectionId id, Talk& talk, Exchange exchange, CoordinatorActions& actions);
-  void count(Talk& talk, const Exchange& exchange) const;
-  void end(Time now, ConnectionId id, bool well, bool hang_up, CoordinatorActions& actions);
-  void end_late(Time now, CoordinatorActions& actions);
-  // bounds
-  [[nodiscard]] bool heard_too_often(Time now, MemberId from);
-  [[nodiscard]] bool ours(const Envelope& envelope);
-  [[nodiscard]] bool urgent() const;  // service is not back yet
+  void on_opened(const Opened& opened, CoordinatorActions& actions);
+  void on_accepted(Time now, const Accepted& accepted, CoordinatorActions& actions);
+  void on_exchange(Time now, const ExchangeReceived& received, CoordinatorActions& actions);
+  void send_step(ConnectionId id, RunningExchange& running, Exchange message, CoordinatorActions& actions);
+  void count(RunningExchange& running, const Exchange& message) const;
+  void end(Time now, ConnectionId id, bool completed, bool close, CoordinatorActions& actions);
+  void end_overdue(Time now, CoordinatorActions& actions);
+  // bounds.cpp
+  [[nodiscard]] bool rate_exceeded(Time now, MemberId from);
+  [[nodiscard]] bool acceptable(const Envelope& envelope);
+  [[nodiscard]] bool returning() const;  // service is not restored yet
   [[nodiscard]] Envelope envelope() const;
 
   CoordinatorSettings settings_;
   members::Members members_;
   facts::Facts facts_;
   recovery::Recovery recovery_;
-  news::News news_;
-  pace::Pace pace_;
+  news::EagerPush eager_push_;
+  pace::GossipSchedule gossip_;
   drift::Drift drift_;
-  bool rules_on_ = false;        // the own rules have been told
-  bool people_changed_ = true;   // the members, and drift has not been told
-  std::size_t agreed_told_ = 0;  // to drift
-  std::map<ConnectionId, Talk> talks_;
-  std::map<MemberId, Flood> floods_;
-  std::uint64_t last_talk_ = 0;
-  std::uint64_t incarnations_ = 0;  // of all members together, as told last
-  std::uint64_t verdicts_ = 0;      // a hash of the lives and verdicts in the terms told last
-  Time facts_at_ = Time::min();
-  Time refused_at_ = Time::min();  // when refused news was logged last
-  Time members_at_ = Time::max();  // when the table is to be kept
+  bool rules_known_ = false;         // the active rules of this process have been read back
+  bool members_changed_ = true;      // and drift has not been notified
+  std::size_t agreed_notified_ = 0;  // the agreed size of which drift was notified last
+  std::map<ConnectionId, RunningExchange> exchanges_;
+  std::map<MemberId, MessageRate> rates_;
+  std::uint64_t last_exchange_ = 0;
+  std::uint64_t incarnations_ = 0;  // sum over all members at the last notification
+  std::uint64_t verdicts_ = 0;      // hash of lifetimes and verdicts in the last terms
+  Time facts_tick_at_ = Time::min();
+  Time refusal_logged_at_ = Time::min();
+  Time store_members_at_ = Time::max();
   bool begun_ = false;
   bool left_ = false;
   CoordinatorCounters counts_;
--- a/src/fleet/turn/urgent.cpp
+++ b/src/fleet/turn/urgent.cpp
@@ -1,58 +1,62 @@
-// Urgent: news of offices, beside the exchanges: what came, what was written here, what is pushed on.
+// Eager push of facts about offices: receiving, writing and forwarding them outside the exchanges.
 //
-// Owns: the way of news into the facts, or past them where they cannot take it yet.
-// Must never: let a newer fact of an owner take the place of older ones that are still to come.
+// A pushed fact goes into the facts, or past them if they cannot take it yet: a newer fact of an owner must
+// not take the place of older ones that are still to come.
 #include <array>
 
 #include "fleet/turn/turn.h"
 
 namespace reeltack::fleet {
 namespace {
-constexpr Duration kRefusedAgain = std::chrono::seconds(10);
+constexpr Duration kRefusalLogInterval = std::chrono::seconds(10);
 }
 
-// Held dead is no reason: over a one-way link those who are heard are, since nobody hears them answered.
-bool Turn::belongs(MemberId member) const {
+// Members held dead count as well: over a one-way link a member whose messages arrive is held dead, because
+// the probes sent to it do not get through.
+bool Coordinator::is_member(MemberId member) const {
   const auto found = members_.table().find(member);
   return found != members_.table().end() && found->second.told.health != members::Health::left;
 }
 
-void Turn::heard(Time now, const news::Message& message, CoordinatorActions& actions) {
+void Coordinator::on_push(Time now, const news::Message& message, CoordinatorActions& actions) {
   const MemberId from = message.envelope.from;
-  if (!begun_ || !ours(message.envelope) || heard_too_often(now, from)) return;
-  const news::Counts before = news_.counts();
-  const auto news = news_.heard(now, message, [this](MemberId member) { return belongs(member); });
-  for (const facts::Fact& fact : news) hand(now, from, fact, actions);
+  if (!begun_ || !acceptable(message.envelope) || rate_exceeded(now, from)) return;
+  const news::Counts before = eager_push_.counts();
+  const auto urgent =
+      eager_push_.on_message(now, message, [this](MemberId member) { return is_member(member); });
+  for (const facts::Fact& fact : urgent) deliver(now, from, fact, actions);
   log_refused(now, from, before, actions);
 }
 
-// Where it follows on what is held of its owner, the facts take it; where older ones are missing, they refuse
-// it (`after` is above what they hold), and recovery is told of it alone, until an exchange brings them all.
-void Turn::hand(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions) {
-  const facts::OwnerDelta part{fact.owner, fact.incarnation, false, false, fact.version - 1, 0, {fact}};
-  const facts::Facts::Taken taken = facts_.take(now, from, {{part}});
-  const auto has = facts_.of(now, fact.owner, fact.key);
-  const bool held = has && std::pair(has->incarnation, has->version) >=
-                               std::pair(fact.incarnation, fact.version);  // this one or a later one
-  take(now, taken, actions);
+// If the fact follows directly on what is held of its owner, the facts take it. If older ones are missing,
+// they refuse it (`after` is above what they hold); then only recovery receives it, until an exchange brings
+// them all.
+void Coordinator::deliver(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions) {
+  const facts::OwnerDelta delta{fact.owner, fact.incarnation, false, false, fact.version - 1, 0, {fact}};
+  const facts::Facts::Taken taken = facts_.take(now, from, {{delta}});
+  const auto current = facts_.of(now, fact.owner, fact.key);
+  const bool held = current && std::pair(current->incarnation, current->version) >=
+                                   std::pair(fact.incarnation, fact.version);  // this one or a later one
+  apply(now, taken, actions);
   if (held) return;
-  news_.told_ahead(fact);
+  eager_push_.mark_delivered_ahead(fact);
   decide(now, recovery::FactReceived{fact}, actions);
 }
 
-void Turn::log_refused(Time now, MemberId from, const news::Counts& before, CoordinatorActions& actions) {
-  const news::Counts& after = news_.counts();
+void Coordinator::log_refused(Time now, MemberId from, const news::Counts& before,
+                              CoordinatorActions& actions) {
+  const news::Counts& after = eager_push_.counts();
   if (after.refused() == before.refused()) return;
-  if (refused_at_ != Time::min() && now < refused_at_ + kRefusedAgain) return;
-  refused_at_ = now;
+  if (refusal_logged_at_ != Time::min() && now < refusal_logged_at_ + kRefusalLogInterval) return;
+  refusal_logged_at_ = now;
   const auto found = members_.table().find(from);
   const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
   const std::array<std::pair<const char*, bool>, 5> reasons{
       {{"malformed", after.malformed > before.malformed},
-       {"stranger", after.stranger > before.stranger},
-       {"old", after.old > before.old},
+       {"stranger", after.non_member > before.non_member},
+       {"old", after.too_old > before.too_old},
        {"own", after.own > before.own},
-       {"flooded", after.flooded > before.flooded}}};
+       {"flooded", after.rate_limited > before.rate_limited}}};
   for (const auto& [reason, grew] : reasons) {
     if (!grew) continue;
     actions.emplace_back(Log{
@@ -61,20 +65,20 @@
   }
 }
 
-void Turn::wrote(Time now, const facts::Key& key) {
-  if (key.kind == facts::Kind::list) pace_.changed(now);
+void Coordinator::fact_written(Time now, const facts::Key& key) {
+  if (key.kind == facts::Kind::list) gossip_.spread_change(now);
   if (key.kind != facts::Kind::office) return;
-  if (const auto fact = facts_.of(now, members_.self().id, key)) news_.wrote(now, *fact);
+  if (const auto fact = facts_.of(now, members_.self().id, key)) eager_push_.on_written(now, *fact);
 }
 
-void Turn::push_news(Time now, CoordinatorActions& actions) {
-  if (!begun_ || now < news_.next()) return;
-  std::vector<MemberId> others, dead;
+void Coordinator::send_pushes(Time now, CoordinatorActions& actions) {
+  if (!begun_ || now < eager_push_.next()) return;
+  std::vector<MemberId> live, dead;
   for (const auto& [id, member] : members_.table()) {
     if (member.told.health == members::Health::left) continue;
-    (member.told.health == members::Health::dead ? dead : others).push_back(id);
+    (member.told.health == members::Health::dead ? dead : live).push_back(id);
   }
-  for (news::Push& push : news_.due(now, others, dead))
+  for (news::Push& push : eager_push_.due(now, live, dead))
     actions.emplace_back(
         SendPush{members_.table().at(push.to).told.at, push.to, {envelope(), std::move(push.facts)}});
 }
--- a/tests/fleet/drift_turn_test.cpp
+++ b/tests/fleet/drift_turn_test.cpp
@@ -20,7 +20,7 @@
     self.id = MemberId{1};
     self.incarnation = 1;
     self.name = "n0";
-    turn = std::make_unique<Turn>(settings, self, std::span<const Endpoint>{}, 1);
+    turn = std::make_unique<Coordinator>(settings, self, std::span<const Endpoint>{}, 1);
     CoordinatorActions actions;
     turn->begin(now, std::nullopt, {}, actions);
     say(drift::Restored{});
@@ -49,7 +49,7 @@
     }
   }
   Time now{1000s};
-  std::unique_ptr<Turn> turn;
+  std::unique_ptr<Coordinator> turn;
   std::vector<drift::Vote> votes;
   std::string logged;
 };
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(bytes.size(), wire_size(message));
     same(message, decode_message(bytes));
     EXPECT_FALSE(is_news(bytes));
-    const news::Message news = random.news();
+    const news::Message news = random.push();
     const std::string told = encode(news);
     EXPECT_EQ(told.size(), wire_size(news));
     EXPECT_TRUE(is_news(told));
@@ -57,7 +57,7 @@
     message.envelope.incarnation %= members::kMaxIncarnation;
     for (members::Update& u : message.updates) u.incarnation %= members::kMaxIncarnation;
     EXPECT_LE(wire_size(message), members::encoded_size(message)) << "message " << i;
-    const news::Message news = random.news();
+    const news::Message news = random.push();
     EXPECT_LE(wire_size(news), news::encoded_size(news)) << "news " << i;
     const Exchange exchange = random.exchange();
     std::size_t parts = exchange.delta.owners.size();
@@ -74,7 +74,7 @@
   for (int i = 0; i < 16; ++i) {
     const std::string datagram = encode(random.message());
     const std::string frame = body(random.exchange());
-    const std::string news = encode(random.news());
+    const std::string news = encode(random.push());
     for (const std::string& bytes : {datagram, frame, news}) {
       // What passes is within the bounds: it can be written again, but for its length.
       const auto attempt = [&](const std::string& b) {
@@ -110,7 +110,7 @@
   EXPECT_EQ(error({"\x10\x06", 2}), "kind: unknown: 6");
   EXPECT_EQ(error({"\x32\x7f", 2}), "message: no message of the protocol");
   // News, as a program reads it that does not know of it; and news without what it must have.
-  news::Message news = random.news();
+  news::Message news = random.push();
   news.facts.resize(1);
   const std::string told = encode(news);
   EXPECT_EQ(error_of([&] { (void)decode_message(told); }).substr(0, 26), "message: unknown fields of");
@@ -148,7 +148,7 @@
 
   news::Message news;
   EXPECT_EQ(error(news), "facts: none");
-  news.facts.assign(17, Random(kSeed).news().facts[0]);
+  news.facts.assign(17, Random(kSeed).push().facts[0]);
   EXPECT_EQ(error(news), "facts: 17 of them, 16 at most");
   news.facts.resize(1);
   EXPECT_EQ(error(news), "");
@@ -197,7 +197,7 @@
     const members::Message read = decode_message(encode(m) + std::string("\x78\x01\x32\x01\xff", 5));
     EXPECT_EQ(fields(m.envelope), fields(read.envelope));
     EXPECT_TRUE(read.updates.empty());
-    news::Message news = random.news();
+    news::Message news = random.push();
     news.envelope.version = version;
     EXPECT_TRUE(decode_news(encode(news) + std::string("\x78\x01", 2)).facts.empty());
     Exchange e = random.exchange();
--- a/tests/fleet/link_peer_test.cpp
+++ b/tests/fleet/link_peer_test.cpp
@@ -38,12 +38,12 @@
   ASSERT_TRUE(slow.connect(own(1)));
   const std::string frame = encode(summary(3));
   EXPECT_TRUE(slow.send(frame));
-  ASSERT_TRUE(a.script.wait<Said>());
+  ASSERT_TRUE(a.script.wait<ExchangeReceived>());
   std::size_t sent = 0;
   for (; sent < frame.size() && slow.send(frame.substr(sent, 1)); ++sent) std::this_thread::sleep_for(20ms);
   EXPECT_LT(sent, frame.size()) << "a frame that would have taken seconds";
   ASSERT_TRUE(a.script.wait<Closed>(2));
-  EXPECT_EQ(a.script.count<Said>(), 1U);
+  EXPECT_EQ(a.script.count<ExchangeReceived>(), 1U);
 }
 
 TEST(LinkPeer, OneThatSpeaksWithoutEnd) {
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i <= a.settings.most_frames; ++i) (void)peer.send(frame);
   EXPECT_TRUE(peer.closed());
   ASSERT_TRUE(a.script.wait<Closed>());
-  EXPECT_EQ(a.script.count<Said>(), a.settings.most_frames);
+  EXPECT_EQ(a.script.count<ExchangeReceived>(), a.settings.most_frames);
 }
 
 TEST(LinkPeer, OneThatReadsNothing) {
@@ -81,7 +81,7 @@
   EXPECT_GE(said, held);
   EXPECT_LE(said, held + 16);
   b.script.act(*b.link, {Dial{ConnectionId{2}, own(1), MemberId{1}}});
-  EXPECT_TRUE(a.script.wait<Said>()) << "others are heard";
+  EXPECT_TRUE(a.script.wait<ExchangeReceived>()) << "others are heard";
 }
 
 TEST(LinkPeer, OnlySoManyAreTakenInAndSomeRoomIsKeptForOnesOwn) {
@@ -139,7 +139,7 @@
   EXPECT_TRUE(a.script.wait<Malformed>(2000));
   const std::size_t before = ticks;
   b.script.act(*b.link, {Dial{ConnectionId{2}, own(1), MemberId{1}}});
-  EXPECT_TRUE(a.script.wait<Said>());
+  EXPECT_TRUE(a.script.wait<ExchangeReceived>());
   EXPECT_TRUE(a.script.wait<Malformed>(4000));
   EXPECT_GT(ticks, before);
   over = true;
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -13,7 +13,7 @@
 void answer(const CoordinatorEvent& event, CoordinatorActions& actions) {
   const auto is_own = [](ConnectionId id) { return static_cast<std::uint64_t>(id) % 2 == 0; };
   if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(1)});
-  if (const auto* said = std::get_if<Said>(&event)) {
+  if (const auto* said = std::get_if<ExchangeReceived>(&event)) {
     if (is_own(said->id))
       actions.push_back(CloseConnection{said->id});
     else
@@ -32,8 +32,8 @@
   ASSERT_TRUE(b.script.wait<MembershipReceived>() && c.script.wait<MembershipReceived>());
   EXPECT_EQ(b.script.get<MembershipReceived>().message.sequence, 7U);
   EXPECT_EQ(c.script.get<MembershipReceived>().message.sequence, 8U);
-  ASSERT_TRUE(a.script.wait<Said>(2) && b.script.wait<Closed>() && c.script.wait<Closed>());
-  EXPECT_EQ(a.script.get<Said>().exchange.envelope.from, MemberId{2});
+  ASSERT_TRUE(a.script.wait<ExchangeReceived>(2) && b.script.wait<Closed>() && c.script.wait<Closed>());
+  EXPECT_EQ(a.script.get<ExchangeReceived>().exchange.envelope.from, MemberId{2});
   EXPECT_EQ(b.script.get<Accepted>().id, ConnectionId{1});
   EXPECT_EQ(b.script.get<Closed>().id, ConnectionId{1});
   a.link->stop();
--- a/tests/fleet/members_faults_test.cpp
+++ b/tests/fleet/members_faults_test.cpp
@@ -20,7 +20,7 @@
   Fleet fleet(12, 21);
   fleet.start_all();
   fleet.run(seconds(20));
-  for (std::size_t n = 0; n + 1 < 12; ++n) fleet.net.link(n, n + 1).cut = true;
+  for (std::size_t n = 0; n + 1 < 12; ++n) fleet.net.link(n, n + 1).blocked = true;
   fleet.run(minutes(10));
   EXPECT_EQ(fleet.own_suspicions, 0U);
   EXPECT_TRUE(fleet.agreed());
@@ -31,13 +31,13 @@
   Fleet fleet(12, 22);
   fleet.start_all();
   fleet.run(seconds(20));
-  for (std::size_t n = 0; n < 12; ++n) fleet.net.link(n, 5).cut = true;
+  for (std::size_t n = 0; n < 12; ++n) fleet.net.link(n, 5).blocked = true;
   fleet.run(minutes(3));
   for (std::size_t n = 0; n < 12; ++n) {
     EXPECT_EQ(fleet.nodes[n]->alive(), n == 5 ? 1U : 11U) << n;
   }
   for (std::size_t n = 0; n < 12; ++n) EXPECT_TRUE(n == 5 || fleet.deaths_by[n] <= 1) << n;
-  for (std::size_t n = 0; n < 12; ++n) fleet.net.link(n, 5).cut = false;
+  for (std::size_t n = 0; n < 12; ++n) fleet.net.link(n, 5).blocked = false;
   const Duration took = fleet.until_agreed(minutes(2));
   std::cout << "deaf for 3 minutes: all agree " << in_seconds(took) << " s after\n";
   EXPECT_LE(took, seconds(60));
@@ -52,8 +52,8 @@
       fleet.start_all();
       fleet.run(seconds(20));
       Link slow;
-      slow.least = milliseconds(200);
-      slow.most = milliseconds(1500);
+      slow.min_delay = milliseconds(200);
+      slow.max_delay = milliseconds(1500);
       for (std::size_t n = 0; n < 12; ++n) fleet.net.link(n, 3) = fleet.net.link(3, n) = slow;
       fleet.run(minutes(10) / kScale);
       of_others[lifeguard ? 0 : 1] += fleet.own_suspicions;
@@ -74,13 +74,13 @@
     Fleet fleet(12, seed);
     fleet.start_all();
     fleet.run(seconds(20));
-    fleet.net.cut_between({0, 1, 2, 3, 4}, {5, 6, 7, 8, 9, 10, 11}, true);
+    fleet.net.partition({0, 1, 2, 3, 4}, {5, 6, 7, 8, 9, 10, 11}, true);
     fleet.run(seconds(GetParam()));
     if (GetParam() >= 60) {
       for (std::size_t n = 0; n < 12; ++n) ASSERT_EQ(fleet.nodes[n]->alive(), n < 5 ? 5U : 7U);
     }
     fleet.forget_counts();
-    fleet.net.cut_between({0, 1, 2, 3, 4}, {5, 6, 7, 8, 9, 10, 11}, false);
+    fleet.net.partition({0, 1, 2, 3, 4}, {5, 6, 7, 8, 9, 10, 11}, false);
     longest = std::max(longest, fleet.until_agreed(minutes(3)));
   }
   std::cout << "partition of " << GetParam() << " s: both sides agree at most " << in_seconds(longest)
@@ -120,7 +120,7 @@
       const std::size_t node = draws.below(size);
       const std::size_t other = draws.below(size);
       const std::size_t kind = draws.below(7);
-      if (kind == 0) fleet.net.link(node, other).cut ^= true;
+      if (kind == 0) fleet.net.link(node, other).blocked ^= true;
       if (kind == 1) fleet.net.link(node, other).loss = 0.3;
       if (kind == 2) fleet.net.pause(node, fleet.net.now() + milliseconds(draws.below(20000)));
       if (kind == 3) fleet.stop(node);
--- a/tests/fleet/power.h
+++ b/tests/fleet/power.h
@@ -1,12 +1,9 @@
-// A power loss of a fleet of real processes, step by step, and what has to hold after it.
+// Power loss of a fleet of real processes, step by step, and the conditions that must hold afterwards.
 //
-// Owns: the order of events of one test, the instants of each controller in it, and the figures that it
-// prints.
-// Must never: let a time of the machine decide where an event can be awaited.
-//
-// Bounds of the issue that are in real time (an urgent call within 1 s, nothing new 250 ms after it was told)
-// are printed as measured and fail at kSlack beyond them: on a machine that others use too a process may
-// stand still for so long without a fault of its own.
+// Tests wait for events and never rely on a fixed delay where an event can be awaited. Real-time requirements
+// (an urgent call within 1 s, nothing new to an office 250 ms after its end was reported) are printed as
+// measured and fail at kSlack beyond the requirement: on a shared machine a process may be stalled that long
+// without a fault of its own.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,69 +16,69 @@
 inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline constexpr Duration kSlack = 1s;
 
-// 62 set-ups a second an office, a third of it while cold; at twice of that a cold one falls over.
-RigSettings powered();
+// An office carries 62 set-ups per second, a third of that while cold; at twice its rate a cold office falls.
+RigSettings power_settings();
 
 class Power {
  public:
   using Trouble = standin::Trouble;
   // Offices, by position; the ids count from 1.
-  static constexpr std::size_t kAnew = 3, kCold = 4, kGone = 5, kOther = 6, kDrained = 7;
-  static constexpr std::uint32_t kUrgent = 1;  // of the rig's classes
+  static constexpr std::size_t kRestarted = 3, kCold = 4, kGone = 5, kReplaced = 6, kDrained = 7;
+  static constexpr std::uint32_t kUrgent = 1;  // index among the rig's classes
 
-  explicit Power(RigSettings settings = powered());
-  ~Power();  // the play ends before what it plays against does
+  explicit Power(RigSettings settings = power_settings());
+  ~Power();  // ends the load before the offices and controllers that it runs against
   Power(const Power&) = delete;
   Power& operator=(const Power&) = delete;
 
-  // All up, in service, full and agreed, under load for a while.
-  void warm(std::size_t answered = 300);
-  // An office starts anew, which each is told and keeps.
-  void told_anew();
-  // While power is out: an office restarts cold, one is gone, at one's address there is another, and one is
-  // told as draining but would still answer.
-  void befall();
-  // All at once, discovery too, and the offices change behind it.
-  void lose_power(Duration dark);
-  // Power is there again: side by side all that are down, or these of them.
+  // Starts all controllers and waits until they are in full service and agree, then runs load for a while.
+  void warm(std::size_t established = 300);
+  // Restarts an office and waits until each controller has received and stored that.
+  void restart_listed_office();
+  // Changes during the outage: one office restarts cold, one is gone, one is replaced by another at its
+  // address, and one is listed as draining but would still answer.
+  void change_offices();
+  // Kills all controllers at once, silences discovery and changes the offices.
+  void lose_power(Duration outage);
+  // Starts all controllers that are down, or those in `only`, at the same time.
   void power_returns(const std::set<std::size_t>& only = {});
-  // What a controller has said since it came back.
-  [[nodiscard]] std::string said(std::size_t i) {
-    return rig.pack().member(i).log().substr(members_[i].said);
+  // The log of a controller since it returned.
+  [[nodiscard]] std::string log_since_return(std::size_t i) {
+    return rig.pack().member(i).log().substr(members_[i].log_offset);
   }
-  // Each that came back says this; of those from one on.
-  [[nodiscard]] bool all_say(const std::string& words, Duration most, std::size_t from = 0);
-  // Discovery is back, but not for the deaf: until each of the others that is up has its newest list, and
-  // when it did.
-  [[nodiscard]] bool hear(Duration most, const std::set<std::size_t>& deaf = {});
-  [[nodiscard]] bool settled(Duration most);
-  // Everybody says the same of the offices.
-  [[nodiscard]] bool agree(std::int64_t trusted, std::int64_t barred, Duration most);
+  // Waits until each controller that returned, from index `from` on, has logged the text.
+  [[nodiscard]] bool all_logged(const std::string& text, Duration limit, std::size_t from = 0);
+  // Restores discovery except for the controllers in `without`; waits until each other one that is up has the
+  // newest list, and records when it did.
+  [[nodiscard]] bool restore_discovery(Duration limit, const std::set<std::size_t>& without = {});
+  [[nodiscard]] bool settled(Duration limit);
+  // All controllers report these numbers of offices.
+  [[nodiscard]] bool agree(std::int64_t trusted, std::int64_t barred, Duration limit);
   [[nodiscard]] std::string figures();
-  [[nodiscard]] std::string logs(std::size_t most = 60);  // some controllers' last lines
-  std::unique_ptr<load::Played> end();
+  [[nodiscard]] std::string logs(std::size_t lines = 60);  // the last lines of some controllers
+  std::unique_ptr<load::Played> end_load();
 
-  // The end of the play and its verdict: every call answered once; each controller keeps the rules of
-  // attempts and sends nothing to the drained office once it has been told itself; no cold office has fallen;
-  // each that came back serves its first urgent call.
-  void judge(double least_part, bool befallen = true);
-  // The same of a play in which nobody was away: nothing to the drained office later than `most` after
-  // `told`; none: from when the offices' log has it.
-  void judge(Time told, double least_part, Duration most);
+  // Ends the load and checks: every call was answered exactly once; each controller kept the rules of
+  // attempts and sent nothing to the drained office after it received that; no cold office fell; each
+  // controller that returned served its first urgent call in time.
+  void judge(double min_part, bool offices_changed = true);
+  // The same for a run in which no controller was down: nothing reached the drained office later than `limit`
+  // after `listed`; Time{}: after the time in the offices' log.
+  void judge(Time listed, double min_part, Duration limit);
 
   Rig rig;
   Time returned{}, ready{};
 
  private:
-  std::unique_ptr<load::Played> judge_play(double least_part);
+  std::unique_ptr<load::Played> judge_load(double min_part);
   void judge_rules(const load::Played& played);
   void judge_urgent(const load::Played& played);
   struct Member {
-    std::size_t said = 0;  // of its log, when it was killed
+    std::size_t log_offset = 0;  // end of its log when it was killed
     std::optional<Time> launched, ready, list;
   };
   std::vector<Member> members_;
-  bool playing_ = false;
+  bool load_running_ = false;
 };
 
 }  // namespace reeltack::rig
--- a/tests/fleet/power_loss_test.cpp
+++ b/tests/fleet/power_loss_test.cpp
@@ -1,33 +1,34 @@
-// All of 12 controllers killed at once under load; discovery is silent while offices change behind it.
+// All 12 controllers are killed at once under load; discovery is silent while offices change.
 #include "power.h"
 
 namespace reeltack::rig {
 namespace {
 
-TEST(PowerLoss, AllOfTwelveComeBackWhileDiscoveryIsSilentAndOfficesHaveChanged) {
+TEST(PowerLoss, AllTwelveReturnWhileDiscoveryIsSilentAndOfficesHaveChanged) {
   Power power;
   power.warm();
   ASSERT_FALSE(::testing::Test::HasFatalFailure());
-  power.told_anew();
+  power.restart_listed_office();
   power.lose_power(1s);
   power.power_returns();
-  // What was told of a start before the loss is known after it, of all offices' starts alone.
+  // The one start received before the loss is known after it, and no other office's start.
   EXPECT_TRUE(power.rig.until(5s, [&] { return power.rig.all("offices_cold", 1); })) << power.figures();
   EXPECT_TRUE(power.rig.until(20s, [&] { return power.rig.all("alive", 12); })) << power.figures();
   std::printf("all alive after %.2f s\n", seconds(base::now() - power.returned));
   EXPECT_TRUE(power.settled(45s)) << power.figures() << power.logs();
-  EXPECT_TRUE(power.all_say(" to=probation", 10s)) << power.logs();
+  EXPECT_TRUE(power.all_logged(" to=probation", 10s)) << power.logs();
   std::printf("full after %.2f s\n%s", seconds(base::now() - power.returned), power.figures().c_str());
-  // Nobody follows a list now: what refuses is trusted by none, whatever the configuration says of it.
+  // No controller follows a list now: an office that refuses is trusted by none, though the configuration
+  // names it.
   EXPECT_TRUE(power.rig.until(15s, [&] {
     for (std::size_t i = 0; i < 12; ++i)
       if (power.rig.figure(i, "offices_trusted") > 7) return false;
     return true;
   })) << power.figures();
   std::this_thread::sleep_until(base::to_steady(power.returned) + 20s);
-  EXPECT_TRUE(power.hear(15s)) << power.figures();
-  // Five stay, one came back cold, one is new at an old address: 6 + 1 of 9 known; gone, its id and the
-  // drained one are barred.
+  EXPECT_TRUE(power.restore_discovery(15s)) << power.figures();
+  // 9 offices are known. Trusted: four that run on, one restarted cold, and the new one at an old address.
+  // Barred: the one that is gone, the replaced one and the drained one.
   EXPECT_TRUE(power.agree(6, 3, 15s)) << power.figures() << power.logs();
   power.judge(0.5);
 }
--- a/tests/fleet/random_messages.h
+++ b/tests/fleet/random_messages.h
@@ -1,4 +1,4 @@
-// Random messages within the protocol's bounds, for the codec's tests. Equal seeds give equal messages.
+// Random messages within the protocol's bounds for the codec tests. Equal seeds give equal messages.
 #pragma once
 
 #include <random>
@@ -11,9 +11,9 @@
   explicit Random(std::uint64_t seed) : engine(seed) {}
   std::uint64_t bits() { return engine() >> (engine() % 64U); }  // of every magnitude
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(engine() % n); }
-  std::string text(std::size_t most) {
+  std::string text(std::size_t max_size) {
     std::string out;
-    for (std::size_t n = below(most + 1); out.size() < n;) out += static_cast<char>('a' + below(26));
+    for (std::size_t n = below(max_size + 1); out.size() < n;) out += static_cast<char>('a' + below(26));
     return out;
   }
   Endpoint endpoint() { return {static_cast<std::uint32_t>(bits()), static_cast<std::uint16_t>(bits())}; }
@@ -32,7 +32,7 @@
     return m;
   }
 
-  news::Message news() {
+  news::Message push() {
     news::Message n;
     n.envelope = envelope();
     for (std::size_t size = 1 + below(7); n.facts.size() < size;) {
--- a/tests/fleet/return_case.h
+++ b/tests/fleet/return_case.h
@@ -1,7 +1,7 @@
-// The outages of which a fleet's return is measured, and what a play of one came to.
+// Power outages after which the return of a fleet to service is measured, and the result of a run.
 //
-// Owns: plain descriptions, the same for virtual time and for processes. Must never: hold state or play.
-// Offices are named by position. Times are from the moment at which power goes, or comes back.
+// Plain descriptions, the same for virtual time and for real processes. Offices are named by position. Times
+// count from the moment at which power is lost, or returns.
 #pragma once
 
 #include <chrono>
@@ -12,51 +12,54 @@
 
 namespace reeltack::test {
 
-enum class Play : std::uint8_t { fleet, alone, known };  // known: a list that was never lost
+// fleet: the controllers form a fleet; alone: each returns by itself; known: by itself, the list was never
+// lost.
+enum class Variant : std::uint8_t { fleet, alone, known };
 
 struct ReturnCase {
   const char* name = "";
-  double rate = 300.0;  // calls a second, over all controllers
+  double rate = 300.0;  // calls per second over all controllers
   Duration set_up = std::chrono::milliseconds(8), answer = std::chrono::milliseconds(4),
-           release = std::chrono::milliseconds(4);  // an office's work for a call
+           release = std::chrono::milliseconds(4);  // an office's work for each part of a call
   double fall_multiple = 2.0;
-  Duration dark = std::chrono::seconds(1);  // without power
-  std::size_t configured = 8;               // offices that the configuration names, the first ones
-  std::vector<std::size_t> told_anew{};    // start anew half a second before power goes, and the list says so
-  std::vector<std::size_t> unseen_anew{};  // start anew while it is dark
-  std::vector<std::size_t> gone{};         // end while it is dark
-  std::vector<std::size_t> another{};      // end while it is dark; another office takes the address
-  std::vector<std::size_t> silent{};       // say nothing from then on
-  std::size_t survivors = 0;               // controllers, the first ones
-  Duration zone_apart{};                   // power comes back so long after the zone before
-  double crowd = 1.0;                      // in the first second so many times the rate
+  Duration outage = std::chrono::seconds(1);    // without power
+  std::size_t configured = 8;                   // number of offices in the configuration, the first ones
+  std::vector<std::size_t> restarted_listed{};  // restart 0.5 s before power is lost, and are listed so
+  std::vector<std::size_t> restarted_unseen{};  // restart during the outage
+  std::vector<std::size_t> gone{};              // end during the outage
+  std::vector<std::size_t> replaced{};          // end during the outage; another office takes the address
+  std::vector<std::size_t> silent{};            // do not answer from the loss of power on
+  std::size_t survivors = 0;                    // number of controllers that keep power, the first ones
+  Duration zone_delay{};                        // power returns so long after the previous zone
+  double surge = 1.0;                           // factor on the rate in the first second
 };
 
 inline constexpr std::size_t kReturnControllers = 12, kReturnOffices = 8;
-inline constexpr Duration kReturnCounted = std::chrono::seconds(30);  // calls planned within
-inline constexpr Duration kReturnSilent = std::chrono::seconds(20);   // of discovery, from the return on
+inline constexpr Duration kReturnMeasured = std::chrono::seconds(30);  // calls planned within it are measured
+inline constexpr Duration kReturnSilent =
+    std::chrono::seconds(20);  // discovery is silent, counted from the return of power
 
-// An office carries warm 62.5 calls a second by the usual work, 19 by the small one. A small one falls by one
-// set-up of each controller and what it works off in a second.
+// A warm office carries 62.5 calls per second with the usual work, 19 with the slow one. A slow office falls
+// once it is sent, within a second, one set-up of each controller in addition to what it works off meanwhile.
 inline std::vector<ReturnCase> return_cases() {
   using namespace std::chrono_literals;
   std::vector<ReturnCase> all;
   ReturnCase usual;
   usual.name = "light";
   usual.rate = 330.0;
-  usual.unseen_anew = {4};
+  usual.restarted_unseen = {4};
   usual.gone = {5};
-  usual.another = {6};
+  usual.replaced = {6};
   all.push_back(usual);
-  ReturnCase small;
-  small.set_up = 44ms;
-  small.answer = small.release = 4ms;
-  small.rate = 120.0;
-  small.fall_multiple = 1.25;
-  ReturnCase cold = small;
+  ReturnCase slow;
+  slow.set_up = 44ms;
+  slow.answer = slow.release = 4ms;
+  slow.rate = 120.0;
+  slow.fall_multiple = 1.25;
+  ReturnCase cold = slow;
   cold.name = "cold";
-  cold.told_anew = {4, 5, 6, 7};
-  cold.crowd = 3.0;
+  cold.restarted_listed = {4, 5, 6, 7};
+  cold.surge = 3.0;
   all.push_back(cold);
   ReturnCase silent;
   silent.name = "silent";
@@ -66,32 +69,32 @@
   ReturnCase moved;
   moved.name = "moved";
   moved.configured = 3;
-  moved.another = {2};
+  moved.replaced = {2};
   all.push_back(moved);
-  ReturnCase zones = small;
+  ReturnCase zones = slow;
   zones.name = "zones";
-  zones.told_anew = {3, 6};
-  zones.crowd = 3.0;
+  zones.restarted_listed = {3, 6};
+  zones.surge = 3.0;
   zones.survivors = 3;
-  zones.zone_apart = 300ms;
+  zones.zone_delay = 300ms;
   all.push_back(zones);
-  ReturnCase crowd = small;
-  crowd.name = "crowd";
-  crowd.told_anew = {2, 5};
-  crowd.crowd = 3.0;
-  all.push_back(crowd);
-  ReturnCase dark = usual;
-  dark.name = "long";
-  dark.dark = 20min;
-  dark.unseen_anew.clear();
-  all.push_back(dark);
+  ReturnCase surge = slow;
+  surge.name = "crowd";
+  surge.restarted_listed = {2, 5};
+  surge.surge = 3.0;
+  all.push_back(surge);
+  ReturnCase prolonged = usual;
+  prolonged.name = "long";
+  prolonged.outage = 20min;
+  prolonged.restarted_unseen.clear();
+  all.push_back(prolonged);
   return all;
 }
 
-struct Worth {
-  double part = 0.0;  // earned of offered
-  std::uint64_t fallen = 0, stood = 0, started = 0, violations = 0;
-  Duration urgent{};  // from a process's start until it has the most urgent class open, the longest
+struct ReturnResult {
+  double part = 0.0;  // worth earned of worth offered
+  std::uint64_t offices_fallen = 0, established = 0, started = 0, violations = 0;
+  Duration urgent{};  // longest time from a process's start until its most urgent class is open
 };
 
 }  // namespace reeltack::test
--- a/tests/fleet/return_run.h
+++ b/tests/fleet/return_run.h
@@ -1,14 +1,12 @@
-// One load of a play: its schedule, callers and accounts.
-//
-// Owns: what belongs to that load alone. Must never: be used once another has begun.
+// One load on a ReturnWorld: its schedule, callers and records. It is replaced when the next load begins.
 #pragma once
 
 #include "return_world.h"
 
 namespace reeltack::test {
 
-struct ReturnWorld::Run {
-  Run(const load::Scenario& of, std::uint64_t salt, Time now)
+struct ReturnWorld::LoadRun {
+  LoadRun(const load::Scenario& of, std::uint64_t salt, Time now)
       : scenario(of),
         begun(now),
         recorder(scenario),
@@ -21,7 +19,7 @@
   load::Callers callers;
   load::Schedule schedule;
   std::optional<load::Arrival> next;
-  Time armed = Time::max();
+  Time armed_for = Time::max();
 };
 
 Settings module_settings(const ReturnCase& of);
--- a/tests/fleet/return_world.cpp
+++ b/tests/fleet/return_world.cpp
@@ -1,4 +1,4 @@
-// The play of a case: power, bulletin and callers. What is sent and answered: return_world_calls.cpp.
+// The course of a case: power, bulletin and load. Set-ups and answers: return_world_calls.cpp.
 #include "return_world.h"
 
 #include "return_run.h"
@@ -6,8 +6,8 @@
 namespace reeltack::test {
 namespace {
 
-// What the list of endpoints fills in. The world's clock is discovery's too, so that the process's age is
-// what its start says.
+// Fills in what the product's list of endpoints computes. Discovery uses the simulation's clock, so that the
+// age of a process follows from its start.
 ServerEntry with_start_time(ServerEntry entry) {
   entry.started_at = Time{std::chrono::milliseconds(static_cast<std::int64_t>(entry.start))};
   return entry;
@@ -15,9 +15,9 @@
 
 WorldSettings settings_of(const ReturnCase& of, std::uint64_t seed) {
   WorldSettings out = world_of(kReturnControllers, kReturnOffices, seed);
-  out.calls_a_second = 0.0;
-  out.checked = false;
-  recovery::RecoverySettings& r = out.turn.recovery;
+  out.calls_per_second = 0.0;
+  out.check_invariants = false;
+  recovery::RecoverySettings& r = out.coordinator.recovery;
   r.class_worth = {1.0, 3.0, 1.0};
   r.class_aim = {1500ms, 2s, 2500ms};
   r.ramp = r.offices.ramp = 15s;
@@ -28,7 +28,7 @@
   return out;
 }
 
-load::Scenario scenario_of(const ReturnCase& of, std::uint64_t seed, Duration lasts, double crowd) {
+load::Scenario scenario_of(const ReturnCase& of, std::uint64_t seed, Duration lasts, double surge) {
   load::Scenario s;
   s.seed = seed;
   s.duration = lasts;
@@ -46,7 +46,7 @@
   add("estado-viaje", 0.61, 1500ms, 1.0);
   add("pedido-viaje", 0.17, 2s, 3.0);
   add("posicion-movil", 0.22, 2500ms, 1.0);
-  if (crowd > 1.0) s.shapes.push_back({1ms, crowd, 1ms, 1s, 1ms});
+  if (surge > 1.0) s.shapes.push_back({1ms, surge, 1ms, 1s, 1ms});
   s.redials = 3;
   s.redial_spread = 0.5;
   s.cut_comes_again = true;
@@ -86,122 +86,123 @@
   return p;
 }
 
-ReturnWorld::ReturnWorld(const ReturnCase& of, Play play, std::uint64_t seed)
+ReturnWorld::ReturnWorld(const ReturnCase& of, Variant variant, std::uint64_t seed)
     : case_(of),
-      play_(play),
+      variant_(variant),
       seed_(seed),
       world_(settings_of(of, seed)),
       gateways_(kReturnControllers),
       sites_(kReturnOffices) {
   for (std::size_t k = 0; k < world_.offices.size(); ++k) {
-    world_.offices[k].is.place = static_cast<std::uint32_t>(k + 1);
-    first_.push_back(world_.offices[k].is);
+    world_.offices[k].identity.place = static_cast<std::uint32_t>(k + 1);
+    configured_.push_back(world_.offices[k].identity);
     sites_[k].processor = std::make_unique<standin::Processor>(processor_settings(of), Time{});
   }
-  world_.on_terms = [this](std::size_t node, const recovery::Terms& terms) { apply(node, terms); };
+  world_.on_terms = [this](std::size_t node, const recovery::Terms& terms) { apply_terms(node, terms); };
 }
 
 ReturnWorld::~ReturnWorld() = default;
 
 ServerEntry ReturnWorld::entry(const World::Office& office) const {
-  ServerEntry out = with_start_time(entry_of(office.is, ServerState::ready).entry);
+  ServerEntry out = with_start_time(entry_of(office.identity, ServerState::ready).entry);
   if (office.listed == recovery::Seen::gone) out.state = ServerState::gone;
   return out;
 }
 
-void ReturnWorld::apply(std::size_t node, const recovery::Terms& terms) {
+void ReturnWorld::apply_terms(std::size_t node, const recovery::Terms& terms) {
   Gateway& g = gateways_[node];
-  for (const recovery::Terms::Line& line : terms.offices) g.at[line.office.id] = line.office.at;
-  const TermsApplied::Told told = g.applied.take(terms);
+  for (const recovery::Terms::Line& line : terms.offices) g.addresses[line.office.id] = line.office.at;
+  const TermsApplied::Told changes = g.applied_terms.take(terms);
   if (!g.module) g.module = std::make_unique<Controller>(module_settings(case_), seed_ * 131 + node);
-  if (!told.offices.empty()) {
+  if (!changes.offices.empty()) {
     ServerListReceived list;
-    for (const core::OfficeEntry& o : told.offices) list.entries.push_back(with_start_time(o.entry));
-    tell(node, list);
+    for (const core::OfficeEntry& o : changes.offices) list.entries.push_back(with_start_time(o.entry));
+    notify(node, list);
   }
-  if (told.module) tell(node, *told.module);
+  if (changes.module) notify(node, *changes.module);
 }
 
 void ReturnWorld::start(std::size_t node) {
   Gateway& g = gateways_[node];
-  g.applied = {};
-  g.at.clear();
-  g.heard = false;
-  if (play_ == Play::fleet) {
+  g.applied_terms = {};
+  g.addresses.clear();
+  g.list_received = false;
+  if (variant_ == Variant::fleet) {
     world_.start(node);
     recovery::ListReceived configured;
     configured.complete = true;
     configured.live = false;
     for (std::size_t k = 0; k < case_.configured; ++k)
-      configured.offices.push_back({first_[k], recovery::Rank::kept, recovery::Seen::ready, {}, {}});
-    world_.hear(node, configured);
+      configured.offices.push_back({configured_[k], recovery::Rank::kept, recovery::Seen::ready, {}, {}});
+    world_.deliver_from_core(node, configured);
     return;
   }
   g.module = std::make_unique<Controller>(module_settings(case_), seed_ * 131 + node);
   ServerListReceived list;
   list.complete = true;
   for (std::size_t k = 0; k < case_.configured; ++k) {
-    g.at[first_[k].id] = first_[k].at;
-    list.entries.push_back(with_start_time(entry_of(first_[k], ServerState::ready).entry));
+    g.addresses[configured_[k].id] = configured_[k].at;
+    list.entries.push_back(with_start_time(entry_of(configured_[k], ServerState::ready).entry));
   }
-  tell(node, list);
-  if (bulletin_) world_.schedule(20ms, [this, node] { tell_truth(node); });
+  notify(node, list);
+  if (bulletin_up_) world_.schedule(20ms, [this, node] { send_list(node); });
 }
 
 void ReturnWorld::kill(std::size_t node) {
   Gateway& g = gateways_[node];
-  ++g.life;
+  ++g.lifetime;
   g.module.reset();
-  if (play_ == Play::fleet) world_.kill(node);
+  if (variant_ == Variant::fleet) world_.kill(node);
 }
 
-void ReturnWorld::tell_truth(std::size_t node) {
+void ReturnWorld::send_list(std::size_t node) {
   Gateway& g = gateways_[node];
-  if (!g.module || !bulletin_ || play_ == Play::fleet) return;
+  if (!g.module || !bulletin_up_ || variant_ == Variant::fleet) return;
   ServerListReceived list;
   list.complete = true;
   for (const World::Office& office : world_.offices) {
-    g.at[office.is.id] = office.is.at;
+    g.addresses[office.identity.id] = office.identity.at;
     list.entries.push_back(entry(office));
   }
-  tell(node, list);
+  notify(node, list);
 }
-void ReturnWorld::tell_truth() {
-  for (std::size_t i = 0; i < gateways_.size(); ++i) tell_truth(i);
+void ReturnWorld::send_list() {
+  for (std::size_t i = 0; i < gateways_.size(); ++i) send_list(i);
 }
 
-void ReturnWorld::anew(std::size_t k) {
+void ReturnWorld::restart_office(std::size_t k) {
   World::Office& office = world_.offices[k];
-  office.is.start = static_cast<std::uint64_t>((world_.now() - Time{}) / 1ms);
-  office.born = world_.now();
+  office.identity.start = static_cast<std::uint64_t>((world_.now() - Time{}) / 1ms);
+  office.started_at = world_.now();
   sites_[k].processor = std::make_unique<standin::Processor>(processor_settings(case_), world_.now());
   for (auto& [key, attempt] : attempts_)
-    if (attempt.site == k) attempt.phase = Phase::over;
+    if (attempt.site == k) attempt.phase = Phase::ended;
   world_.list(k, recovery::Seen::ready);
-  tell_truth();
+  send_list();
 }
 
-void ReturnWorld::put_another(std::size_t k) {
+void ReturnWorld::replace_office(std::size_t k) {
   World::Office other = world_.offices[k];
   world_.offices[k].up = false;
   world_.list(k, recovery::Seen::gone);
-  other.is.id = ServerId{static_cast<std::uint32_t>(world_.offices.size())};
-  other.is.start = static_cast<std::uint64_t>((world_.now() - Time{}) / 1ms);
-  other.born = world_.now();
+  other.identity.id = ServerId{static_cast<std::uint32_t>(world_.offices.size())};
+  other.identity.start = static_cast<std::uint64_t>((world_.now() - Time{}) / 1ms);
+  other.started_at = world_.now();
   world_.offices.push_back(other);
   sites_.push_back({std::make_unique<standin::Processor>(processor_settings(case_), world_.now())});
   world_.list(world_.offices.size() - 1, recovery::Seen::ready);
 }
 
-Worth ReturnWorld::play() {
+ReturnResult ReturnWorld::run() {
   for (std::size_t i = 0; i < gateways_.size(); ++i) start(i);
-  // What offices carry is learnt in a load of its own, so that the worth counted is of the return alone.
-  call_for(26s, 0s, 1.0);
-  for (const std::size_t k : case_.told_anew) anew(k);
+  // The offices' rates are learned under a load of its own, so that the worth measured is of the return
+  // alone.
+  run_load(26s, 0s, 1.0);
+  for (const std::size_t k : case_.restarted_listed) restart_office(k);
   world_.run(500ms);
-  if (play_ != Play::known) {
-    bulletin_ = false;
-    world_.reach_all(false);
+  if (variant_ != Variant::known) {
+    bulletin_up_ = false;
+    world_.set_bulletins(false);
   }
   for (std::size_t i = case_.survivors; i < gateways_.size(); ++i) kill(i);
   for (const std::size_t k : case_.gone) {
@@ -209,38 +210,39 @@
     world_.list(k, recovery::Seen::gone);
   }
   for (const std::size_t k : case_.silent) sites_[k].silent = true;
-  world_.run(case_.dark * 9 / 10);
-  for (const std::size_t k : case_.unseen_anew) anew(k);
-  for (const std::size_t k : case_.another) put_another(k);
-  tell_truth();
-  world_.run(case_.dark / 10);
-  const std::uint64_t before = fallen_;
+  world_.run(case_.outage * 9 / 10);
+  for (const std::size_t k : case_.restarted_unseen) restart_office(k);
+  for (const std::size_t k : case_.replaced) replace_office(k);
+  send_list();
+  world_.run(case_.outage / 10);
+  const std::uint64_t fallen_before = offices_fallen_;
   for (std::size_t i = case_.survivors; i < gateways_.size(); ++i)
-    world_.schedule(i % 3 * case_.zone_apart, [this, i] { start(i); });
+    world_.schedule(i % 3 * case_.zone_delay, [this, i] { start(i); });
   world_.schedule(kReturnSilent, [this] {
-    bulletin_ = true;
-    world_.reach_all(true);
-    tell_truth();
+    bulletin_up_ = true;
+    world_.set_bulletins(true);
+    send_list();
   });
-  call_for(kReturnCounted, 12s, case_.crowd);
-  Worth out;
-  const load::Tally& all = run_->recorder.all();
+  run_load(kReturnMeasured, 12s, case_.surge);
+  ReturnResult out;
+  const load::Tally& all = load_run_->recorder.all();
   out.part = all.worth_earned / all.worth_offered;
-  out.stood = all.results[static_cast<std::size_t>(load::Result::stands)];
+  out.established = all.results[static_cast<std::size_t>(load::Result::stands)];
   out.started = all.started;
-  out.violations = run_->recorder.violations().total();
-  out.fallen = fallen_ - before;
-  for (std::size_t i = case_.survivors; play_ == Play::fleet && i < gateways_.size(); ++i)
-    out.urgent = std::max(out.urgent, world_.nodes[i].urgent_open - world_.nodes[i].began);
+  out.violations = load_run_->recorder.violations().total();
+  out.offices_fallen = offices_fallen_ - fallen_before;
+  for (std::size_t i = case_.survivors; variant_ == Variant::fleet && i < gateways_.size(); ++i)
+    out.urgent = std::max(out.urgent, world_.nodes[i].urgent_open - world_.nodes[i].started_at);
   return out;
 }
 
-void ReturnWorld::call_for(Duration lasts, Duration settle, double crowd) {
-  run_ = std::make_unique<Run>(scenario_of(case_, seed_ + 1000 * runs_, lasts, crowd), ++runs_, world_.now());
-  drive_callers();
+void ReturnWorld::run_load(Duration lasts, Duration settle, double surge) {
+  load_run_ = std::make_unique<LoadRun>(scenario_of(case_, seed_ + 1000 * load_runs_, lasts, surge),
+                                        ++load_runs_, world_.now());
+  run_callers();
   world_.run(lasts + settle);
   load::CallerActions actions;
-  run_->callers.close(world_.now() - run_->begun, actions);
+  load_run_->callers.close(world_.now() - load_run_->begun, actions);
 }
 
 }  // namespace reeltack::test
--- a/tests/fleet/return_world.h
+++ b/tests/fleet/return_world.h
@@ -1,11 +1,12 @@
-// A fleet's return played in virtual time: callers, the product's module and turn, offices with processors.
+// Simulates one return of a fleet from a power outage in virtual time: callers, the production decision
+// module and coordinator, and offices with processors.
 //
-// Owns: one play of one case: a module for each controller, a processor for each office, what is under way
-// between them, and the callers. The turns, stores and links are the World's.
-// Must never: judge, or decide in a module's or a turn's stead.
+// A ReturnWorld holds a module for each controller, a processor for each office, the messages between them,
+// and the callers; coordinators, stores and links belong to World. It only measures, and decides nothing in
+// place of a module or a coordinator.
 //
-// Callers, schedule and accounts are the load generator's own, processors the stand-ins', so that a play here
-// and one in processes count alike. Equal case, play and seed give equal results.
+// Callers, schedule and records are the load generator's own, processors those of the fake offices, so that
+// results here and in real processes are counted alike. Equal case, variant and seed give equal results.
 #pragma once
 
 #include <map>
@@ -22,76 +23,76 @@
 
 class ReturnWorld {
  public:
-  ReturnWorld(const ReturnCase& of, Play play, std::uint64_t seed);
+  ReturnWorld(const ReturnCase& of, Variant variant, std::uint64_t seed);
   ~ReturnWorld();
   ReturnWorld(const ReturnWorld&) = delete;
   ReturnWorld& operator=(const ReturnWorld&) = delete;
-  Worth play();
+  ReturnResult run();
   World& world() { return world_; }
 
  private:
   struct Gateway {
-    std::unique_ptr<Controller> module;  // none: it takes no calls
-    TermsApplied applied;
-    std::map<ServerId, Endpoint> at;
-    std::uint64_t life = 0;
-    bool heard = false;  // a list that was told since its start
+    std::unique_ptr<Controller> module;  // none: without power, takes no calls
+    TermsApplied applied_terms;
+    std::map<ServerId, Endpoint> addresses;
+    std::uint64_t lifetime = 0;
+    bool list_received = false;  // since its start
   };
-  struct Site {  // an office's process
+  struct Site {  // the process of an office
     std::unique_ptr<standin::Processor> processor;
     bool silent = false;
-    Time armed = Time::max();
+    Time armed_for = Time::max();
   };
-  enum class Phase : std::uint8_t { under_way, works, stands, over };
+  enum class Phase : std::uint8_t { in_transit, processing, established, ended };
   struct Attempt {
     std::size_t node = 0, site = 0;
-    std::uint64_t life = 0;
+    std::uint64_t lifetime = 0;  // of the controller
     CallId call{};
-    std::uint32_t number = 0;  // of the call's attempts
+    std::uint32_t number = 0;  // among the call's attempts
     ServerId server{};
     Time sent{};
-    Phase phase = Phase::under_way;
+    Phase phase = Phase::in_transit;
   };
-  struct Run;  // of callers
+  struct LoadRun;
 
-  void call_for(Duration lasts, Duration settle, double crowd);
-  void drive_callers();
-  void arm();
-  void answer(CallId call, load::Callers::No how, Duration later);
-  void carry_out(load::CallerActions& actions);
-  void tell(std::size_t node, const Event& event);
-  void do_all(std::size_t node, const ActionSink& actions);
-  void send(std::size_t node, const SendSetUp& set_up);
-  void arrives(std::uint64_t key);
-  void drive(std::size_t site);
-  void finish(std::size_t site, const standin::Processor::Done& done);
-  void stands(std::uint64_t key);
-  void end(std::uint64_t key, AttemptOutcome ending, bool call_ended = false);
+  void run_load(Duration lasts, Duration settle, double surge);
+  void run_callers();
+  void arm_callers();
+  void reject(CallId call, load::Callers::No how, Duration retry_after);
+  void carry_out_callers(load::CallerActions& actions);
+  void notify(std::size_t node, const Event& event);
+  void carry_out(std::size_t node, const ActionSink& actions);
+  void send_set_up(std::size_t node, const SendSetUp& set_up);
+  void on_arrival(std::uint64_t key);
+  void run_processor(std::size_t site);
+  void on_work_done(std::size_t site, const standin::Processor::Done& done);
+  void on_established(std::uint64_t key);
+  void end(std::uint64_t key, AttemptOutcome outcome, bool call_ended = false);
   void fall(std::size_t site);
-  void trace_fall(std::size_t site);  // to the screen: who sent how much under which bound
-  void saw(const Attempt& attempt, core::OfficeObserver::OfficeObservation what);
+  void print_fall(std::size_t site);  // to stdout: set-ups and bounds of each controller
+  void observe(const Attempt& attempt, core::OfficeObserver::OfficeObservation what);
   void start(std::size_t node);
   void kill(std::size_t node);
-  void tell_truth(std::size_t node);  // the bulletin's list, where no fleet governs it
-  void tell_truth();
-  void anew(std::size_t office);
-  void put_another(std::size_t office);
-  void apply(std::size_t node, const recovery::Terms& terms);
+  void send_list(std::size_t node);  // the bulletin's list, if no fleet decides on it
+  void send_list();
+  void restart_office(std::size_t office);
+  void replace_office(std::size_t office);
+  void apply_terms(std::size_t node, const recovery::Terms& terms);
   [[nodiscard]] std::uint64_t open_attempt(std::size_t node, CallId call) const;
   [[nodiscard]] ServerEntry entry(const World::Office& office) const;
 
   const ReturnCase case_;
-  const Play play_;
+  const Variant variant_;
   const std::uint64_t seed_;
   World world_;
-  std::vector<recovery::Office> first_;  // as configured
+  std::vector<recovery::Office> configured_;  // the offices as they were first
   std::vector<Gateway> gateways_;
   std::vector<Site> sites_;  // by office
   std::map<std::uint64_t, Attempt> attempts_;
-  std::unordered_map<std::uint64_t, std::uint64_t> of_call_;  // the last attempt of each
-  std::uint64_t last_attempt_ = 0, fallen_ = 0, runs_ = 0;
-  bool bulletin_ = true;
-  std::unique_ptr<Run> run_;
+  std::unordered_map<std::uint64_t, std::uint64_t> attempt_of_call_;  // the last attempt of each call
+  std::uint64_t last_attempt_ = 0, offices_fallen_ = 0, load_runs_ = 0;
+  bool bulletin_up_ = true;
+  std::unique_ptr<LoadRun> load_run_;
 };
 
 }  // namespace reeltack::test
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -71,7 +71,7 @@
     for (int n = 0; n < 2000; ++n) {
       const auto collect = [&](Time at) {
         for (const auto& [id, since] : untold)  // next() never comes later than the bound
-          ASSERT_LE(at - since, opens ? sums::kSoon : sums::kSlowReportInterval) << seed;
+          ASSERT_LE(at - since, opens ? sums::kFastReportInterval : sums::kSlowReportInterval) << seed;
         reader.collect(at);
         untold.clear();
         for (const auto& [id, count] : plain) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
@@ -104,10 +104,10 @@
         ASSERT_FALSE(at_once) << seed;
         continue;
       }
-      const bool first_of_late = !turned.contains(id) || now >= turned[id] + sums::kSoon;
+      const bool first_of_late = !turned.contains(id) || now >= turned[id] + sums::kFastReportInterval;
       ASSERT_EQ(at_once, first_of_late) << seed;
       if (at_once) turned[id] = now;
-      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kSoon) << seed;
+      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kFastReportInterval) << seed;
       if (!at_once) continue;
       reader.collect(now);
       untold.clear();
--- a/tests/fleet/sim_cost_test.cpp
+++ b/tests/fleet/sim_cost_test.cpp
@@ -1,4 +1,4 @@
-// What the fleet's talk costs a controller while nothing happens, at 12, 24 and 40.
+// Traffic of a quiet fleet per controller, at 12, 24 and 40 controllers.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,19 +12,20 @@
 Quiet cost(std::size_t size) {
   const Quiet q = quiet(size, 24, 1, 0.0, 60s);
   std::printf(
-      "controllers %3zu: %6.0f bytes a second and controller, both ways (datagrams %5.0f), cpu %.3f%%\n",
+      "controllers %3zu: %6.0f bytes per second and controller, both directions (datagrams %5.0f), cpu "
+      "%.3f%%\n",
       size, q.bytes, q.datagrams, 100.0 * q.cpu);
   return q;
 }
 
-TEST(FleetSim, QuietTalkCostsAtMostTwoKilobytesASecond) {
-  const Quiet few = cost(12);
-  const Quiet some = cost(24);
-  const Quiet many = cost(kScale == 1 ? 40 : 12);
-  EXPECT_LE(few.bytes, 2048.0);
-  EXPECT_LE(some.bytes, 2048.0);
-  EXPECT_LE(many.bytes, 2048.0);
-  if (kScale == 1) EXPECT_LE(many.bytes / few.bytes, std::log(40.0) / std::log(12.0) * 1.05);
+TEST(FleetSim, QuietTrafficIsAtMostTwoKilobytesPerSecond) {
+  const Quiet small = cost(12);
+  const Quiet medium = cost(24);
+  const Quiet large = cost(kScale == 1 ? 40 : 12);
+  EXPECT_LE(small.bytes, 2048.0);
+  EXPECT_LE(medium.bytes, 2048.0);
+  EXPECT_LE(large.bytes, 2048.0);
+  if (kScale == 1) EXPECT_LE(large.bytes / small.bytes, std::log(40.0) / std::log(12.0) * 1.05);
 }
 
 }  // namespace
--- a/tests/fleet/sim_faults_test.cpp
+++ b/tests/fleet/sim_faults_test.cpp
@@ -1,5 +1,5 @@
-// Losses that come in parts: by zones, a second one inside the first, a minority, a rolling restart,
-// survivors.
+// Partial power losses: return zone by zone, a second loss during recovery, a partitioned minority, a rolling
+// restart, survivors.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,19 +12,19 @@
 
 double in_seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-// A fleet in full service, warm.
+// A fleet in full service with warm offices.
 std::unique_ptr<World> fleet(std::size_t size, std::size_t offices, std::uint64_t seed, double loss = 0.0) {
   WorldSettings s = world_of(size, offices, seed, loss);
-  s.checked = size <= 40;
+  s.check_invariants = size <= 40;
   auto w = std::make_unique<World>(s);
   for (std::size_t i = 0; i < size; ++i) w->start(i);
   w->run(35s);
   EXPECT_TRUE(w->all(Stage::full));
-  w->forget_counts();
+  w->reset_counts();
   return w;
 }
 void kill_all(World& w) {
-  w.reach_all(false);
+  w.set_bulletins(false);
   for (std::size_t i = 0; i < w.nodes.size(); ++i) w.kill(i);
 }
 std::uint64_t falls(const World& w) {
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(FleetSim, ASecondLossInsideTheFirstRecovery) {
+TEST(FleetSim, ASecondPowerLossDuringRecoveryFromTheFirst) {
   std::set<Stage> met;
   for (const Duration in : {1ms, 20ms, 100ms, 400ms, 800ms, 1200ms, 1800ms, 2500ms, 5000ms}) {
     const auto w = fleet(12, 8, 3);
@@ -61,7 +61,7 @@
     w->run(20s);
     for (std::size_t i = 0; i < 12; ++i) w->start(i);
     w->run(in);
-    for (const World::Node& n : w->nodes) met.insert(n.turn->recovery().stage());
+    for (const World::Node& n : w->nodes) met.insert(n.coordinator->recovery().stage());
     for (std::size_t i = 0; i < 12; ++i) w->kill(i);
     for (World::Office& o : w->offices) o.up = true;
     w->run(1s);
@@ -70,56 +70,57 @@
     EXPECT_LT(w->until([&] { return w->all(Stage::full); }, 45s), 45s) << in_seconds(in);
     EXPECT_EQ(falls(*w), 0U);
   }
-  std::printf("a second loss met %d stages\n", static_cast<int>(met.size()));
+  std::printf("the second loss occurred in %d different stages\n", static_cast<int>(met.size()));
   EXPECT_GE(met.size(), 3U);
 }
 
-// Cut apart with an office that starts anew just then, and one told gone to the greater side alone.
-void part(std::size_t size, std::size_t minority, std::size_t offices) {
+// Partitions the fleet, and restarts an office during the partition.
+void partition_minority(std::size_t size, std::size_t minority, std::size_t offices) {
   const auto w = fleet(size, offices, 7);
-  w->sides([&](std::size_t i) { return i < minority ? 0U : 1U; });
-  w->run(20s);  // the last leases have ended
+  w->partition([&](std::size_t i) { return i < minority ? 0U : 1U; });
+  w->run(20s);  // the last leases have expired
   w->replace(1);
   w->run(15s);
-  const auto minority_of = [&](std::size_t i) {
-    return w->nodes[i].turn->recovery().share(w->now()).minority;
+  const auto in_minority = [&](std::size_t i) {
+    return w->nodes[i].coordinator->recovery().share(w->now()).minority;
   };
-  const auto doubted = [&] {  // by all on the lesser side
+  const auto noticed = [&] {  // by all on the smaller side
     for (std::size_t i = 0; i < minority; ++i)
-      if (!minority_of(i)) return false;
+      if (!in_minority(i)) return false;
     return true;
   };
-  EXPECT_LT(w->until(doubted, 120s), 120s);
+  EXPECT_LT(w->until(noticed, 120s), 120s);
   double parts = 0.0;  // of the allowance, both sides together
-  for (const World::Node& n : w->nodes) parts += n.turn->recovery().share(w->now()).part;
+  for (const World::Node& n : w->nodes) parts += n.coordinator->recovery().share(w->now()).part;
   EXPECT_LE(parts, 1.0 + 1.0e-9);
   for (std::size_t i = 0; i < size; ++i) {
-    const recovery::Recovery& r = w->nodes[i].turn->recovery();
+    const recovery::Recovery& r = w->nodes[i].coordinator->recovery();
     if (i < minority) {
-      EXPECT_EQ(r.agreed(), size) << "a minority agrees on nothing";
+      EXPECT_EQ(r.agreed(), size) << "a minority agrees on no other size";
       EXPECT_EQ(r.share(w->now()).size, size);
     }
     EXPECT_EQ(w->nodes[i].recoveries, 0U);
   }
   EXPECT_EQ(falls(*w), 0U);
-  std::printf("%d of %d cut off: %.2f of the cold allowance sent\n", static_cast<int>(minority),
+  std::printf("%d of %d partitioned: %.2f of the cold allowance sent\n", static_cast<int>(minority),
               static_cast<int>(size), w->offices[1].most);
-  w->sides([](std::size_t) { return 0U; });
+  w->partition([](std::size_t) { return 0U; });
   const Duration healed = w->until(
       [&] {
         return std::all_of(w->nodes.begin(), w->nodes.end(), [&](const World::Node& n) {
-          return n.turn->members().alive() == size && !n.turn->recovery().share(w->now()).minority;
+          return n.coordinator->members().alive() == size &&
+                 !n.coordinator->recovery().share(w->now()).minority;
         });
       },
       60s);
   EXPECT_LT(healed, 60s);
 }
-TEST(FleetSim, AMinorityTakesSharesByTheLargerSize) {
-  part(12, 5, 8);
-  part(30, 12, 8);
+TEST(FleetSim, AMinorityUsesSharesOfTheLargerFleetSize) {
+  partition_minority(12, 5, 8);
+  partition_minority(30, 12, 8);
 }
 
-TEST(FleetSim, ARollingRestartIsNoRecovery) {
+TEST(FleetSim, ARollingRestartIsNotTakenForAPowerLoss) {
   const auto w = fleet(40, 8, 9);
   for (std::size_t tenth = 0; tenth < 10; ++tenth) {
     for (std::size_t i = 4 * tenth; i < 4 * tenth + 4; ++i) w->leave(i);
@@ -135,7 +136,7 @@
 TEST(FleetSim, ThreeSurvivorsOfTwelveAreBelieved) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto w = fleet(12, 8, seed, 0.05);
-    w->reach_all(false);
+    w->set_bulletins(false);
     for (std::size_t i = 3; i < 12; ++i) w->kill(i);
     w->offices[5].up = w->offices[6].up = false;
     w->run(15s);
--- a/tests/fleet/sim_news_test.cpp
+++ b/tests/fleet/sim_news_test.cpp
@@ -1,4 +1,4 @@
-// One controller alone hears the bulletin, and the rest stop in time by its news.
+// Only one controller follows the bulletin; the others stop using an ended office in time through eager push.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,43 +11,44 @@
 
 using recovery::Seen;
 
-// How long after the only source each other one bars the office, in ms; several offices one after the other.
-std::vector<double> stops(std::size_t size, std::uint64_t seed, double loss) {
+// Time from the list of the only source until each other member bars the office, in ms and sorted, for
+// several offices one after the other.
+std::vector<double> bar_times(std::size_t size, std::uint64_t seed, double loss) {
   WorldSettings s = world_of(size, 8, seed, loss);
-  s.checked = size <= 40;
+  s.check_invariants = size <= 40;
   World w(s);
   for (std::size_t i = 0; i < size; ++i) w.start(i);
   w.run(35s);
-  EXPECT_TRUE(w.all(Stage::full) && w.whole());
+  EXPECT_TRUE(w.all(Stage::full) && w.fully_connected());
   const std::size_t source = seed % size;
   for (std::size_t i = 0; i < size; ++i)
-    if (i != source) w.reach(i, false);
+    if (i != source) w.set_bulletin(i, false);
   w.run(2s);
   std::vector<double> out;
   double bytes = 0.0, messages = 0.0;
   const auto count = [&](double sign) {
     for (const World::Node& n : w.nodes) {
-      messages += sign * static_cast<double>(n.news_messages);
-      bytes += sign * static_cast<double>(n.news_bytes);
+      messages += sign * static_cast<double>(n.push_messages);
+      bytes += sign * static_cast<double>(n.push_bytes);
     }
   };
   count(-1.0);
   w.run(10s);
   count(1.0);
-  EXPECT_EQ(messages, 0.0) << "told on while there is no news";
-  w.forget_counts();
+  EXPECT_EQ(messages, 0.0) << "pushed although nothing is urgent";
+  w.reset_counts();
   count(-1.0);
-  constexpr std::size_t kPieces = 4;
-  for (std::size_t office = 0; office < kPieces; ++office) {
-    const Time told = w.now();
+  constexpr std::size_t kOffices = 4;
+  for (std::size_t office = 0; office < kOffices; ++office) {
+    const Time listed = w.now();
     w.list(office, office % 2 == 0 ? Seen::gone : Seen::draining);
     std::vector<bool> stopped(size, false);
-    for (std::size_t left = size; left > 0 && w.now() < told + 5s; w.run(1ms)) {
+    for (std::size_t left = size; left > 0 && w.now() < listed + 5s; w.run(1ms)) {
       left = 0;
       for (std::size_t i = 0; i < size; ++i) {
         if (!stopped[i] && !w.usable(i)[office]) {
           stopped[i] = true;
-          out.push_back(std::chrono::duration<double, std::milli>(w.now() - told).count());
+          out.push_back(std::chrono::duration<double, std::milli>(w.now() - listed).count());
         }
         left += stopped[i] ? 0 : 1;
       }
@@ -55,47 +56,49 @@
     w.run(3s);
   }
   count(1.0);
-  EXPECT_EQ(out.size(), size * kPieces);
+  EXPECT_EQ(out.size(), size * kOffices);
   std::sort(out.begin(), out.end());
   std::printf(
-      "%3zu controllers, %2.0f%% lost, seed %llu: 99%% within %5.1f ms, all within %5.1f; a piece costs "
+      "%3zu controllers, %2.0f%% lost, seed %llu: 99%% within %5.1f ms, all within %5.1f; a fact costs "
       "%5.0f messages, %6.0f bytes; sent to after %.3f s\n",
       size, 100 * loss, static_cast<unsigned long long>(seed), out[out.size() * 99 / 100], out.back(),
-      messages / kPieces, bytes / kPieces, std::chrono::duration<double>(w.late_by_news).count());
+      messages / kOffices, bytes / kOffices, std::chrono::duration<double>(w.late_by_push).count());
   EXPECT_EQ(w.sent_to_gone, 0U);
   return out;
 }
 
-// 5 ms a hop at most, and of the way ceil(log(size) / log(fan-out)) + 1 hops between two pushes.
-TEST(FleetSim, OneBulletinStopsEverybodyWithinAQuarterOfASecond) {
+// Tolerance of 20 ms: at most 5 ms per hop, and ceil(log(size) / log(fan-out)) + 1 hops between two pushes.
+TEST(FleetSim, OneBulletinStopsAllMembersWithinAQuarterOfASecond) {
   for (const std::size_t size : {12U, 40U}) {
     if (size > 12 && kScale > 1) break;
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
-      EXPECT_LE(stops(size, seed, 0.0).back(), 250.0 + 20.0) << "seed " << seed;
+      EXPECT_LE(bar_times(size, seed, 0.0).back(), 250.0 + 20.0) << "seed " << seed;
   }
 }
 
-TEST(FleetSim, OneBulletinStopsNearlyEverybodyWhereAFifthIsLost) {
+TEST(FleetSim, OneBulletinStopsNearlyAllMembersAtTwentyPercentLoss) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const std::vector<double> ms = stops(12, seed, 0.2);
+    const std::vector<double> ms = bar_times(12, seed, 0.2);
     EXPECT_LE(ms[ms.size() * 99 / 100], 250.0 + 20.0) << "seed " << seed;
   }
 }
 
-// Nobody hears the first four; they hear everybody. So each side holds the other dead, and no exchange
-// between them ends. Told over there, what is drained is barred here too.
-TEST(FleetSim, WhoIsNotHeardHearsNewsAllTheSame) {
+// The links from the first four members to the others are blocked, the links back are not. So each side holds
+// the other dead, and no exchange between them completes. An office that the others' list drains must be
+// barred by the four as well.
+TEST(FleetSim, MembersThatAreNotHeardStillReceivePushes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     WorldSettings s = world_of(12, 8, seed);
     World w(s);
     for (std::size_t i = 0; i < 12; ++i) w.start(i);
     w.run(35s);
     for (std::size_t i = 0; i < 4; ++i) {
-      w.reach(i, false);
-      for (std::size_t j = 4; j < 12; ++j) w.cut(i, j, true);
+      w.set_bulletin(i, false);
+      for (std::size_t j = 4; j < 12; ++j) w.block_link(i, j, true);
     }
     w.run(60s);
-    for (const World::Node& n : w.nodes) EXPECT_LT(n.turn->members().alive(), 12U) << "dead to each other";
+    for (const World::Node& n : w.nodes)
+      EXPECT_LT(n.coordinator->members().alive(), 12U) << "dead to each other";
     w.list(2, Seen::draining);
     const auto barred = [&] {
       for (std::size_t i = 0; i < 12; ++i)
@@ -103,22 +106,22 @@
       return true;
     };
     const Duration took = w.until(barred, 20s, 5ms);
-    std::printf("seed %d: the unheard bar it after %.3f s\n", static_cast<int>(seed),
+    std::printf("seed %d: the members that are not heard bar it after %.3f s\n", static_cast<int>(seed),
                 std::chrono::duration<double>(took).count());
     EXPECT_LE(took, 250ms + 20ms) << "seed " << seed;
   }
 }
 
-// Quiet, one bulletin, and no news comes through: exchanges alone tell of it.
-TEST(FleetSim, WhoeverNewsHasMissedKnowsWithinSeconds) {
+// A quiet fleet with one bulletin where no push arrives: exchanges alone deliver the change.
+TEST(FleetSim, WithoutPushesExchangesDeliverWithinSeconds) {
   double most = 0.0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     WorldSettings s = world_of(12, 8, seed, seed % 2 == 0 ? 0.05 : 0.0);
-    s.news = false;
+    s.deliver_pushes = false;
     World w(s);
     for (std::size_t i = 0; i < 12; ++i) w.start(i);
     w.run(35s);
-    for (std::size_t i = 0; i < 12; ++i) w.reach(i, i == seed);
+    for (std::size_t i = 0; i < 12; ++i) w.set_bulletin(i, i == seed);
     w.run(20s);
     for (std::size_t office = 0; office < 4; ++office) {
       w.list(office, office % 2 == 0 ? Seen::gone : Seen::draining);
@@ -128,7 +131,7 @@
       w.run(10s);
     }
   }
-  std::printf("12 controllers, no news heard: all know after %.2f s at most\n", most);
+  std::printf("12 controllers, no push delivered: all know after at most %.2f s\n", most);
 }
 
 }  // namespace
--- a/tests/fleet/sim_runs.cpp
+++ b/tests/fleet/sim_runs.cpp
@@ -12,22 +12,22 @@
 
 Outcome lose_power(std::size_t size, std::size_t offices, std::uint64_t seed, double loss) {
   WorldSettings s = world_of(size, offices, seed, 0.0);
-  s.checked = size <= 40;
-  s.calls_a_second = 2.0;
+  s.check_invariants = size <= 40;
+  s.calls_per_second = 2.0;
   World w(s);
   for (std::size_t i = 0; i < size; ++i) w.start(i);
   w.run(35s);
   Outcome out;
-  out.whole_before = w.all(Stage::full);
+  out.full_before = w.all(Stage::full);
   w.offices[2].up = false;
   w.list(2, recovery::Seen::gone);
   w.replace(1);
   w.run(4s);
-  w.reach_all(false);
+  w.set_bulletins(false);
   for (std::size_t i = 0; i < size; ++i) w.kill(i);
   w.offices[3].up = false;  // while the power is out
   w.run(10s);
-  w.forget_counts();
+  w.reset_counts();
   w.set_loss(loss);
   for (std::size_t i = 0; i < size; ++i)
     w.schedule(Duration(w.below(1000)) * 1000000, [&w, i] { w.start(i); });
@@ -35,8 +35,10 @@
   out.agreed = in_seconds(w.until([&w] { return w.agreed() && !w.usable(0)[3]; }, 15s));
   out.full = in_seconds(w.until([&w] { return w.all(Stage::full); }, 45s)) + out.agreed;
   w.run(5s);
-  for (const World::Node& n : w.nodes) out.urgent = std::max(out.urgent, in_seconds(n.urgent_open - n.began));
-  for (const World::Office& o : w.offices) out.falls += o.falls, out.most = std::max(out.most, o.most);
+  for (const World::Node& n : w.nodes)
+    out.urgent = std::max(out.urgent, in_seconds(n.urgent_open - n.started_at));
+  for (const World::Office& o : w.offices)
+    out.falls += o.falls, out.max_allowance_used = std::max(out.max_allowance_used, o.most);
   out.to_gone = w.sent_to_gone;
   out.digest = w.digest();
   return out;
@@ -44,16 +46,17 @@
 
 Quiet quiet(std::size_t size, std::size_t offices, std::uint64_t seed, double loss, Duration span) {
   WorldSettings s = world_of(size, offices, seed, loss);
-  s.checked = false;
-  s.calls_a_second = 2.0;
+  s.check_invariants = false;
+  s.calls_per_second = 2.0;
   World w(s);
   for (std::size_t i = 0; i < size; ++i) w.start(i);
-  w.run(std::max<Duration>(60s,
-                           static_cast<std::int64_t>(size) * Duration(600ms)));  // until it has come together
-  w.forget_counts();
+  w.run(std::max<Duration>(
+      60s,
+      static_cast<std::int64_t>(size) * Duration(600ms)));  // until the members have found each other
+  w.reset_counts();
   const auto facts = [&w] {
     std::uint64_t all = 0;
-    for (const World::Node& n : w.nodes) all += n.turn->facts().counts().taken;
+    for (const World::Node& n : w.nodes) all += n.coordinator->facts().counts().taken;
     return all;
   };
   const std::uint64_t facts_before = facts();
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/turn_world.cpp
@@ -1,4 +1,5 @@
-// The world's clock, links, conversations and stores. The offices and calls: turn_world_calls.cpp.
+// The simulation's clock, nodes, links and stores. Offices and calls: turn_world_calls.cpp; exchange
+// connections: turn_world_talks.cpp.
 #include "turn_world.h"
 
 #include <algorithm>
@@ -27,7 +28,7 @@
   s.offices = offices;
   s.seed = seed;
   s.loss = loss;
-  recovery::RecoverySettings& r = s.turn.recovery;
+  recovery::RecoverySettings& r = s.coordinator.recovery;
   r.class_worth = {1.0, 5.0, 2.0};
   r.class_aim = {2s, 500ms, 1s};
   r.ramp = r.offices.ramp = 30s;
@@ -40,10 +41,10 @@
 World::World(WorldSettings settings)
     : nodes(settings.controllers),
       settings_(std::move(settings)),
-      cut_(nodes.size() * nodes.size()),
+      blocked_(nodes.size() * nodes.size()),
       state_(settings_.seed) {
-  rate =
-      settings_.calls_a_second * static_cast<double>(nodes.size()) / static_cast<double>(settings_.offices);
+  warm_rate =
+      settings_.calls_per_second * static_cast<double>(nodes.size()) / static_cast<double>(settings_.offices);
   for (std::uint32_t i = 0; i < settings_.offices; ++i)
     offices.push_back({{ServerId{i}, 1000 + i, {0x0a000001U + i, 80}, i % 3, 1.0}});
 }
@@ -58,15 +59,15 @@
 
 void World::start(std::size_t i) {
   Node& n = nodes[i];
-  ++n.life;
-  n.began = now_;
-  n.bulletin_life = bulletin_life_;  // it reads the bulletin from its first event on
+  ++n.lifetime;
+  n.started_at = now_;
+  n.bulletin_lifetime = bulletin_lifetime_;  // the node reads the bulletin from its first event on
   n.restarts = 0;
-  n.urgent_open = n.alarm = n.told_gone = Time::max();
+  n.urgent_open = n.alarm = n.list_since = Time::max();
   n.terms.reset();
-  n.paced.clear();
+  n.send_slots.clear();
   n.trying.clear();
-  n.talks.clear();
+  n.connections.clear();
   n.stages.clear();
   Incarnation incarnation =
       static_cast<Incarnation>(std::chrono::duration_cast<std::chrono::seconds>(now_ - Time{}).count());
@@ -82,39 +83,40 @@
   const members::Self self = self_of(i, incarnation);
   const std::vector<Endpoint> seeds{self_of(0, 1).at, self_of(nodes.size() / 2, 1).at,
                                     self_of(nodes.size() - 1, 1).at};
-  n.turn = std::make_unique<Turn>(settings_.turn, self, seeds, settings_.seed * 7919 + i * 31 + n.life);
+  n.coordinator = std::make_unique<Coordinator>(settings_.coordinator, self, seeds,
+                                                settings_.seed * 7919 + i * 31 + n.lifetime);
   n.sightings = std::make_unique<Sightings>(self.id);
   CoordinatorActions actions;
-  n.turn->begin(now_, recovery::read_stored_state(records, false), remembered, actions);
-  done(i, actions);
+  n.coordinator->begin(now_, recovery::read_stored_state(records, false), remembered, actions);
+  carry_out(i, actions);
   if (n.bulletin)
-    after(20ms, [this, i, life = n.life] {
-      if (nodes[i].life == life) tell_list(i);
+    after(20ms, [this, i, lifetime = n.lifetime] {
+      if (nodes[i].lifetime == lifetime) send_list(i);
     });
-  if (settings_.calls_a_second > 0.0)
-    after(Duration(below(100) * 1000000), [this, i, life = n.life] {
-      if (nodes[i].life == life) call(i);
+  if (settings_.calls_per_second > 0.0)
+    after(Duration(below(100) * 1000000), [this, i, lifetime = n.lifetime] {
+      if (nodes[i].lifetime == lifetime) place_call(i);
     });
 }
 
 void World::kill(std::size_t i) {
-  unwatch();
+  clear_witnesses();
   Node& n = nodes[i];
-  ++n.life;
-  n.turn.reset();
-  n.talks.clear();  // the far ends find out by their own time
+  ++n.lifetime;
+  n.coordinator.reset();
+  n.connections.clear();  // the peers find out by their own time-outs
 }
 
 void World::leave(std::size_t i) {
   CoordinatorActions actions;
-  nodes[i].turn->leave(now_, actions);
-  done(i, actions);
+  nodes[i].coordinator->leave(now_, actions);
+  carry_out(i, actions);
   kill(i);
 }
 
-void World::sides(const std::function<std::size_t(std::size_t)>& side_of) {
+void World::partition(const std::function<std::size_t(std::size_t)>& side_of) {
   for (std::size_t a = 0; a < nodes.size(); ++a)
-    for (std::size_t b = 0; b < nodes.size(); ++b) cut(a, b, side_of(a) != side_of(b));
+    for (std::size_t b = 0; b < nodes.size(); ++b) block_link(a, b, side_of(a) != side_of(b));
 }
 
 void World::run(Duration time) {
@@ -128,53 +130,55 @@
   now_ = end;
 }
 
-Duration World::until(const std::function<bool()>& holds, Duration most, Duration step) {
+Duration World::until(const std::function<bool()>& holds, Duration limit, Duration step) {
   const Time begin = now_;
-  while (!holds() && now_ - begin < most) run(step);
+  while (!holds() && now_ - begin < limit) run(step);
   return now_ - begin;
 }
 
-void World::give(std::size_t i, const CoordinatorEvent& event) {
-  if (!nodes[i].turn) return;
+void World::deliver(std::size_t i, const CoordinatorEvent& event) {
+  if (!nodes[i].coordinator) return;
   mix(static_cast<std::uint64_t>((now_ - Time{}).count()) * 31 + i * 16 + event.index());
   ++steps[event.index()];
   CoordinatorActions actions;
-  nodes[i].turn->on(now_, event, actions);
-  done(i, actions);
+  nodes[i].coordinator->on(now_, event, actions);
+  carry_out(i, actions);
 }
 
-Time World::sights_due(const Node& n) { return n.sightings->next(n.turn->recovery().stage() != Stage::full); }
+Time World::sightings_due(const Node& n) {
+  return n.sightings->next(n.coordinator->recovery().stage() != Stage::full);
+}
 
-void World::wake(std::size_t i) {
+void World::schedule_tick(std::size_t i) {
   Node& n = nodes[i];
-  const Time next = std::max(std::min(n.turn->next(), sights_due(n)), now_ + 1ns);
+  const Time next = std::max(std::min(n.coordinator->next(), sightings_due(n)), now_ + 1ns);
   if (next >= n.alarm || next == Time::max()) return;
   n.alarm = next;
-  due_.push({next, ++serial_, [this, i, life = n.life, next] {
+  due_.push({next, ++serial_, [this, i, lifetime = n.lifetime, next] {
                Node& node = nodes[i];
-               if (node.life != life || node.alarm != next) return;
+               if (node.lifetime != lifetime || node.alarm != next) return;
                node.alarm = Time::max();
                ++steps.back();
                CoordinatorActions actions;
-               if (std::vector<recovery::Event> saw; now_ >= sights_due(node)) {
-                 node.sightings->collect(now_, saw);
-                 node.turn->on_core_events(now_, saw, actions);
+               if (std::vector<recovery::Event> observed; now_ >= sightings_due(node)) {
+                 node.sightings->collect(now_, observed);
+                 node.coordinator->on_core_events(now_, observed, actions);
                }
-               node.turn->tick(now_, actions);
-               done(i, actions);
+               node.coordinator->tick(now_, actions);
+               carry_out(i, actions);
              }});
 }
 
 void World::datagram(std::size_t from, const Endpoint& at, std::size_t bytes, CoordinatorEvent event) {
   nodes[from].datagram_bytes += bytes;
   const std::size_t to = node_at(at);
-  if (to >= nodes.size() || cut_[from * nodes.size() + to] || uniform() < settings_.loss) return;
-  const auto spread = static_cast<std::size_t>((settings_.most - settings_.least).count()) + 1;
-  after(settings_.least + Duration(below(spread)),
-        [this, to, bytes, life = nodes[to].life, event = std::move(event)] {
-          if (nodes[to].life != life) return;
+  if (to >= nodes.size() || blocked_[from * nodes.size() + to] || uniform() < settings_.loss) return;
+  const auto spread = static_cast<std::size_t>((settings_.max_delay - settings_.min_delay).count()) + 1;
+  after(settings_.min_delay + Duration(below(spread)),
+        [this, to, bytes, lifetime = nodes[to].lifetime, event = std::move(event)] {
+          if (nodes[to].lifetime != lifetime) return;
           nodes[to].datagram_bytes += bytes;
-          give(to, event);
+          deliver(to, event);
         });
 }
 
@@ -182,51 +186,53 @@
   static const std::string kName = "name=controller-";
   if (log.event != "member" || !log.text.starts_with(kName)) return;
   const Node& of = nodes.at(std::stoul(log.text.substr(kName.size())));
-  const auto says = [&](const char* words) { return of.turn && log.text.find(words) != std::string::npos; };
-  if (says(" to=suspect") && says("no answer")) ++suspicions;
-  if (says(" to=dead") && says("nobody refuted")) ++deaths;
+  const auto contains = [&](const char* words) {
+    return of.coordinator && log.text.find(words) != std::string::npos;
+  };
+  if (contains(" to=suspect") && contains("no answer")) ++suspicions;
+  if (contains(" to=dead") && contains("nobody refuted")) ++deaths;
 }
 
-void World::done(std::size_t i, CoordinatorActions& actions) {
+void World::carry_out(std::size_t i, CoordinatorActions& actions) {
   Node& n = nodes[i];
   for (CoordinatorAction& action : actions) {
     mix(action.index());
-    if (auto* datagram = std::get_if<SendMembership>(&action)) {
-      const std::size_t bytes = members::encoded_size(datagram->message);
-      this->datagram(i, datagram->to, bytes, MembershipReceived{std::move(datagram->message)});
-    } else if (auto* news = std::get_if<SendPush>(&action)) {
-      const std::size_t bytes = news::encoded_size(news->message);
-      ++n.news_messages;
-      n.news_bytes += bytes;
-      if (settings_.news) this->datagram(i, news->to, bytes, PushReceived{std::move(news->message)});
+    if (auto* membership = std::get_if<SendMembership>(&action)) {
+      const std::size_t bytes = members::encoded_size(membership->message);
+      datagram(i, membership->to, bytes, MembershipReceived{std::move(membership->message)});
+    } else if (auto* push = std::get_if<SendPush>(&action)) {
+      const std::size_t bytes = news::encoded_size(push->message);
+      ++n.push_messages;
+      n.push_bytes += bytes;
+      if (settings_.deliver_pushes) datagram(i, push->to, bytes, PushReceived{std::move(push->message)});
     } else if (const auto* dialled = std::get_if<Dial>(&action)) {
       dial(i, *dialled);
-    } else if (const auto* said = std::get_if<SendExchange>(&action)) {
-      say(i, *said);
-    } else if (const auto* hung = std::get_if<CloseConnection>(&action)) {
-      hang_up(i, hung->id, true);
+    } else if (const auto* message = std::get_if<SendExchange>(&action)) {
+      send(i, *message);
+    } else if (const auto* closed = std::get_if<CloseConnection>(&action)) {
+      close(i, closed->id, true);
     } else if (const auto* store = std::get_if<Store>(&action)) {
       n.store[store->key] = {store->value, now_};
       if (store->key == kIncarnationKey)
-        after(2ms, [this, i, life = n.life, to = Incarnation{std::stoull(store->value)}] {
-          if (nodes[i].life == life) give(i, IncarnationPersisted{to});
+        after(2ms, [this, i, lifetime = n.lifetime, to = Incarnation{std::stoull(store->value)}] {
+          if (nodes[i].lifetime == lifetime) deliver(i, IncarnationPersisted{to});
         });
     } else if (const auto* log = std::get_if<Log>(&action)) {
       count(*log);
-    } else if (const auto* core = std::get_if<ApplyTerms>(&action)) {
-      n.terms = core->terms;
-      if (n.urgent_open == Time::max() && !core->terms.closed[1]) n.urgent_open = now_;
-      for (const recovery::Terms::Line& line : core->terms.offices) n.sightings->name(line.office);
-      if (on_terms) on_terms(i, core->terms);
+    } else if (const auto* apply = std::get_if<ApplyTerms>(&action)) {
+      n.terms = apply->terms;
+      if (n.urgent_open == Time::max() && !apply->terms.closed[1]) n.urgent_open = now_;
+      for (const recovery::Terms::Line& line : apply->terms.offices) n.sightings->name(line.office);
+      if (on_terms) on_terms(i, apply->terms);
     }
   }
-  const Stage stage = n.turn->recovery().stage();
+  const Stage stage = n.coordinator->recovery().stage();
   if (n.stages.empty() || n.stages.back() != stage) {
     n.stages.push_back(stage);
     if (stage == Stage::probation) ++n.recoveries;
   }
-  if (settings_.checked) n.turn->check(now_);
-  wake(i);
+  if (settings_.check_invariants) n.coordinator->check(now_);
+  schedule_tick(i);
 }
 
 }  // namespace reeltack::test
