--- a/tests/fleet/turn_world.h
+++ b/tests/fleet/turn_world.h
@@ -1,11 +1,10 @@
-// A world in virtual time around the product's own fleet::Turn: controllers with their stores, links with
-// faults, conversations as TCP has them, a bulletin, offices that fall while cold, and calls by class.
+// Simulated fleet in virtual time around the production fleet::Coordinator: controllers with their stores,
+// links with faults, exchange connections with the semantics of TCP, a bulletin, offices that fail under
+// overload while cold, and calls by class.
 //
-// Owns: the virtual clock, the truth of the offices, what is under way, and what was counted.
-// Must never: read a clock, draw what is not seeded, or decide in a controller's stead.
-//
-// Equal settings and calls give an equal digest(). A message on a conversation that a cut holds up is lost
-// with all that follows it; loss delays it as retransmission does. A power loss tells nobody.
+// No wall clock and no unseeded randomness; the coordinators alone make the decisions. Equal settings and
+// calls give an equal digest(). A message on an exchange connection across a partition is lost with all that
+// follows it; packet loss delays it as retransmission does. After a power loss no peer is notified.
 #pragma once
 
 #include <array>
@@ -24,7 +23,7 @@
 using namespace std::chrono_literals;
 using recovery::Stage;
 
-// Under sanitizers fewer seeds and smaller fleets.
+// Fewer seeds and smaller fleets under sanitizers.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 inline constexpr std::size_t kScale = 8;
 #else
@@ -35,41 +34,44 @@
   std::size_t controllers = 12, offices = 8;
   std::uint64_t seed = 1;
   double loss = 0.0;
-  Duration least = 1ms, most = 5ms;
-  double calls_a_second = 4.0;  // a controller; 0: the world makes none by itself
-  bool checked = true;          // check() of the turn after each step
-  bool news = true;             // false: every datagram with news is lost
-  CoordinatorSettings turn;
+  Duration min_delay = 1ms, max_delay = 5ms;
+  double calls_per_second = 4.0;  // per controller; 0: the simulation places no calls itself
+  bool check_invariants = true;   // of the coordinator, after each step
+  bool deliver_pushes = true;     // false: every push datagram is lost
+  CoordinatorSettings coordinator;
 };
 WorldSettings world_of(std::size_t controllers, std::size_t offices, std::uint64_t seed, double loss = 0.0);
 
 class World {
  public:
   struct Office {
-    recovery::Office is;
+    recovery::Office identity;
     recovery::Seen listed = recovery::Seen::ready;
     bool up = true;
-    Time born = Time::min(), told = Time::min();  // told: since when `listed` is the bulletin's word
-    std::vector<bool> watched{};  // who was there, in a fleet that was whole, as it was first told as over
-    std::deque<Time> sent{};      // within the fall span
-    std::uint64_t falls = 0;
-    double most = 0.0;  // the largest part of its allowance that was sent within the span, cold
+    Time started_at = Time::min(), listed_at = Time::min();  // listed_at: of the bulletin's present `listed`
+    // By node: was up when the bulletin first listed the office as ended, if the fleet was fully connected
+    // then.
+    std::vector<bool> witnesses{};
+    std::deque<Time> sent{};  // within the fall span
+    std::uint64_t falls = 0;  // failures under overload
+    double most = 0.0;        // the largest part of its allowance sent within the fall span while cold
   };
   using Record = std::pair<std::string, Time>;
   struct Node {
-    std::unique_ptr<Turn> turn;  // none: without power
+    std::unique_ptr<Coordinator> coordinator;  // none: without power
     std::unique_ptr<Sightings> sightings;
     std::map<std::string, Record> store;
     std::optional<recovery::Terms> terms;
-    std::map<ServerId, std::pair<Time, std::uint64_t>> paced;  // the next turn, of which start
-    std::map<ServerId, Time> trying;
-    std::map<ConnectionId, std::size_t> talks;
+    std::map<ServerId, std::pair<Time, std::uint64_t>>
+        send_slots;                   // the next slot, and for which office start
+    std::map<ServerId, Time> trying;  // a trial is in progress until then
+    std::map<ConnectionId, std::size_t> connections;
     std::vector<Stage> stages;
-    std::uint64_t life = 0, dialled_in = 0, recoveries = 0, datagram_bytes = 0, exchange_bytes = 0;
-    std::uint64_t served = 0, refused = 0, failed = 0, restarts = 0, bulletin_life = 0, news_messages = 0,
-                  news_bytes = 0;
-    bool bulletin = true;
-    Time began{}, urgent_open = Time::max(), alarm = Time::max(), told_gone = Time::max();
+    std::uint64_t lifetime = 0, accepted = 0, recoveries = 0, datagram_bytes = 0, exchange_bytes = 0;
+    std::uint64_t served = 0, refused = 0, failed = 0, restarts = 0, bulletin_lifetime = 0, push_messages = 0,
+                  push_bytes = 0;
+    bool bulletin = true;  // the bulletin is reachable
+    Time started_at{}, urgent_open = Time::max(), alarm = Time::max(), list_since = Time::max();
   };
 
   explicit World(WorldSettings settings);
@@ -79,63 +81,65 @@
   // ---- faults
   void start(std::size_t node);
   void kill(std::size_t node);   // as by a power loss
-  void leave(std::size_t node);  // in order
-  void cut(std::size_t from, std::size_t to, bool cut) {
-    cut_[from * nodes.size() + to] = cut;
-    unwatch();
+  void leave(std::size_t node);  // orderly shutdown
+  void block_link(std::size_t from, std::size_t to, bool blocked) {
+    blocked_[from * nodes.size() + to] = blocked;
+    clear_witnesses();
   }
-  void sides(const std::function<std::size_t(std::size_t)>& side_of);  // a partition; all alike: healed
+  void partition(const std::function<std::size_t(std::size_t)>& side_of);  // all on one side: healed
   void set_loss(double loss) { settings_.loss = loss; }
-  void reach(std::size_t node, bool bulletin);
-  void reach_all(bool bulletin);
-  void list(std::size_t office, recovery::Seen seen);  // told by the bulletin to whom it reaches
-  void restart_bulletin();                             // its numbers begin anew
+  void set_bulletin(std::size_t node, bool reachable);
+  void set_bulletins(bool reachable);
+  void list(std::size_t office, recovery::Seen seen);  // changes the bulletin's entry and sends the list
+  void restart_bulletin();                             // its event numbers start again from 1
   void replace(std::size_t office);                    // a new start, cold, at another address
-  void saw(std::size_t node, ServerId office,
-           core::OfficeObserver::OfficeObservation what) {  // as its core does
-    if (nodes[node].sightings->saw(now_, office, what)) wake(node);
+  // An observation by the node's core.
+  void observe(std::size_t node, ServerId office, core::OfficeObserver::OfficeObservation what) {
+    if (nodes[node].sightings->saw(now_, office, what)) schedule_tick(node);
   }
-  void hear(std::size_t node, const recovery::Event& event) { give(node, CoreEvent{event}); }
+  void deliver_from_core(std::size_t node, const recovery::Event& event) { deliver(node, CoreEvent{event}); }
   void schedule(Duration in, std::function<void()> what) { after(in, std::move(what)); }
   void run(Duration time);
-  // Runs until it holds, or for so long; the time it took.
-  Duration until(const std::function<bool()>& holds, Duration most, Duration step = 50ms);
+  // Runs until `holds` is true, or for at most `limit`; returns the time that it took.
+  Duration until(const std::function<bool()>& holds, Duration limit, Duration step = 50ms);
 
-  // ---- what is seen
+  // ---- observations
   [[nodiscard]] Time now() const { return now_; }
   [[nodiscard]] bool all(Stage stage) const;
   [[nodiscard]] std::vector<bool> usable(std::size_t node) const;
-  [[nodiscard]] bool whole() const;    // nothing is cut, and all up know each other as alive
-  [[nodiscard]] bool agreed() const;   // all up use the same offices
-  [[nodiscard]] bool correct() const;  // and these are those that answer
-  [[nodiscard]] double allowed(
-      const Office& office) const;  // within the fall span, the rule's slack included
+  [[nodiscard]] bool fully_connected()
+      const;                           // no link is blocked, and all that are up hold each other alive
+  [[nodiscard]] bool agreed() const;   // all that are up use the same offices
+  [[nodiscard]] bool correct() const;  // and these are the offices that answer
+  // Set-ups that the office may be sent within the fall span, with the tolerance of the rule.
+  [[nodiscard]] double allowed(const Office& office) const;
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  void forget_counts();
+  void reset_counts();
   std::size_t below(std::size_t bound) { return static_cast<std::size_t>(draw() % bound); }
   double uniform() { return static_cast<double>(draw() >> 11U) * 0x1.0p-53; }
 
-  std::function<void(std::size_t, const recovery::Terms&)> on_terms;  // of a node, as they change
+  std::function<void(std::size_t, const recovery::Terms&)> on_terms;  // of a node, when they change
   std::vector<Node> nodes;
   std::vector<Office> offices;
-  std::array<std::uint64_t, std::variant_size_v<CoordinatorEvent> + 1>
-      steps{};                               // by kind of event; last: ticks
-  std::uint64_t suspicions = 0, deaths = 0;  // begun by somebody's own probe or time, of who has power
-  std::uint64_t sent_to_gone = 0;  // set-ups to an office called gone by the own bulletin, after 250 ms
-  Duration late_to_gone{};         // the longest such, by the word of any live reachable source
-  Duration late_by_news{};         // and where the fleet was whole as that source was told, and stayed so
-  double rate = 0.0;               // what an office carries warm, a second
+  std::array<std::uint64_t, std::variant_size_v<CoordinatorEvent> + 1> steps{};  // by event kind; last: ticks
+  std::uint64_t suspicions = 0, deaths = 0;  // false ones, raised by a member's own probe or time-out
+  // Set-ups to an office more than 250 ms after the node's own bulletin listed it as gone.
+  std::uint64_t sent_to_gone = 0;
+  Duration late_to_gone{};  // the latest set-up after any live and reachable source listed the office as gone
+  Duration
+      late_by_push{};      // the same where the fleet was and stayed fully connected since that source's list
+  double warm_rate = 0.0;  // set-ups per second that a warm office carries
 
  private:
-  struct Way {
+  struct Direction {
     Time last{};
     bool broken = false;
   };
-  struct Talk {
+  struct Connection {
     std::array<std::size_t, 2> node{};
-    std::array<std::uint64_t, 2> life{};
+    std::array<std::uint64_t, 2> lifetime{};
     std::array<ConnectionId, 2> id{};
-    std::array<Way, 2> way{};  // from 0 to 1, from 1 to 0
+    std::array<Direction, 2> direction{};  // from 0 to 1, from 1 to 0
   };
   struct Due {
     Time at;
@@ -145,32 +149,33 @@
   };
   std::uint64_t draw();
   void after(Duration in, std::function<void()> what) { due_.push({now_ + in, ++serial_, std::move(what)}); }
-  void give(std::size_t node, const CoordinatorEvent& event);
-  void done(std::size_t node, CoordinatorActions& actions);
-  void wake(std::size_t node);
-  static Time sights_due(const Node& node);
+  void deliver(std::size_t node, const CoordinatorEvent& event);
+  void carry_out(std::size_t node, CoordinatorActions& actions);
+  void schedule_tick(std::size_t node);
+  static Time sightings_due(const Node& node);
   void dial(std::size_t from, const Dial& dial);
-  void say(std::size_t from, const SendExchange& said);
-  void hang_up(std::size_t from, ConnectionId id, bool told);
-  void carry(std::size_t talk, std::size_t from, std::function<void()> what);
-  void tell_list(std::size_t node);
-  void call(std::size_t node);
+  void send(std::size_t from, const SendExchange& message);
+  void close(std::size_t from, ConnectionId id, bool notify_peer);
+  void transmit(std::size_t connection, std::size_t from, std::function<void()> what);
+  void send_list(std::size_t node);
+  void place_call(std::size_t node);
   void set_up(std::size_t node, const recovery::Terms::Line& line);
-  bool turn_of(Node& node, const recovery::Terms::Line& line);
-  void unwatch();
+  bool take_send_slot(Node& node, const recovery::Terms::Line& line);
+  void clear_witnesses();
   void datagram(std::size_t from, const Endpoint& to, std::size_t bytes, CoordinatorEvent event);
-  void watch_gone(std::size_t node, const Office& office);
+  void record_if_gone(std::size_t node, const Office& office);
   void count(const Log& log);
   void mix(std::uint64_t value) { digest_ = (digest_ ^ value) * 0x100000001b3ULL; }
   [[nodiscard]] std::size_t node_at(const Endpoint& at) const { return at.address - 0x7f000001U; }
 
   WorldSettings settings_;
-  std::vector<bool> cut_;
-  std::uint64_t state_, serial_ = 0, list_number_ = 1, bulletin_life_ = 1, digest_ = 0xcbf29ce484222325ULL;
+  std::vector<bool> blocked_;
+  std::uint64_t state_, serial_ = 0, list_number_ = 1, bulletin_lifetime_ = 1,
+                        digest_ = 0xcbf29ce484222325ULL;
   Time now_ = Time{} + 1000000s;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::map<std::size_t, Talk> talks_;
-  std::size_t last_talk_ = 0;
+  std::map<std::size_t, Connection> connections_;
+  std::size_t last_connection_ = 0;
 };
 
 }  // namespace reeltack::test
--- a/tests/fleet/versions_file_test.cpp
+++ b/tests/fleet/versions_file_test.cpp
@@ -78,7 +78,7 @@
   EXPECT_EQ(on.settings.attempts_cap, 3U) << "its own, before its zone's and all";
   EXPECT_EQ(on.settings.classes[0].aim, 2s) << "its zone's";
   EXPECT_EQ(on.settings.classes[1].worth, 0.5);
-  EXPECT_EQ(controllers.turn.pace.every, 500ms);
+  EXPECT_EQ(controllers.turn.gossip.interval, 500ms);
   EXPECT_EQ(controllers.turn.recovery.class_aim.at(0), 2s) << "what recovery takes of it follows";
   EXPECT_EQ(differences(rules_of(on, controllers), required_rules(version, "n3", "este")).size(), 0U);
 
@@ -89,7 +89,7 @@
   ASSERT_EQ(why.size(), 1U);
   EXPECT_EQ(why[0], "class.voice.aim: is no rule");
   EXPECT_EQ(other.settings.attempts_cap, 4U) << "nothing is half taken";
-  EXPECT_EQ(untouched.turn.pace.every, Controllers{}.turn.pace.every);
+  EXPECT_EQ(untouched.turn.gossip.interval, Controllers{}.turn.gossip.interval);
 
   // A version that its proposer's own files let pass, and this one's do not.
   Node shorter = node();
--- a/tests/fleet/virtual_network.h
+++ b/tests/fleet/virtual_network.h
@@ -1,12 +1,11 @@
-// A network of nodes in virtual time, for any kind of message: what was sent comes later, or never.
+// Network of nodes in virtual time, for any kind of message: a message arrives later or is lost.
 //
-// Owns: the virtual clock, the messages under way, the nodes' alarms, and the faults of each link (loss,
-// delay, cut one way) and node (down, paused). Must never: read a clock, draw what is not seeded, look into a
-// message.
-//
-// Equal seed, equal calls: equal order of events. Delays are even between least and most, so messages
-// overtake. A paused node gets what came in the meantime after its pause, in order, its alarm last; a node
-// that is down gets nothing, and what was under way to it is lost.
+// Each link has a loss rate, a delay, and may be blocked in one direction; a node may be down or paused and
+// has one alarm. No wall clock and no unseeded randomness, and messages are not inspected. Equal seed and
+// calls give an equal order of events. Delays are distributed evenly between min_delay and max_delay, so
+// messages may overtake each other. A paused node receives the messages that arrived meanwhile after its
+// pause, in order, and its alarm last; a node that is down receives nothing, and messages in transit to it
+// are lost.
 #pragma once
 
 #include <algorithm>
@@ -22,9 +21,9 @@
 
 struct Link {
   double loss = 0.0;
-  Duration least = std::chrono::milliseconds(1);
-  Duration most = std::chrono::milliseconds(5);
-  bool cut = false;
+  Duration min_delay = std::chrono::milliseconds(1);
+  Duration max_delay = std::chrono::milliseconds(5);
+  bool blocked = false;
 };
 
 template <class Message>
@@ -35,35 +34,35 @@
   VirtualNetwork(std::size_t nodes, std::uint64_t seed)
       : nodes_(nodes), links_(nodes * nodes), node_(nodes), state_(seed) {}
 
-  // Of this way alone; the other way is another link.
+  // One direction only; the other one is a separate link.
   Link& link(Node from, Node to) { return links_[from * nodes_ + to]; }
   void every_link(const Link& link) { links_.assign(links_.size(), link); }
-  void cut_between(const std::vector<Node>& one, const std::vector<Node>& other, bool cut) {
+  void partition(const std::vector<Node>& one, const std::vector<Node>& other, bool blocked) {
     for (const Node a : one) {
-      for (const Node b : other) link(a, b).cut = link(b, a).cut = cut;
+      for (const Node b : other) link(a, b).blocked = link(b, a).blocked = blocked;
     }
   }
   void pause(Node node, Time until) { node_[node].paused_until = until; }
   void set_down(Node node, bool down) {
     node_[node].down = down;
-    ++node_[node].life;  // what was under way is not for the next process
+    ++node_[node].lifetime;  // messages in transit are not for the next process
     alarm(node, Time::max());
   }
   [[nodiscard]] bool is_down(Node node) const { return node_[node].down; }
 
   void send(Node from, Node to, Message message) {
     if (node_[from].down) return;
-    const Link& way = link(from, to);
+    const Link& used = link(from, to);
     ++sent_;
-    if (way.cut || node_[to].down || draw() < way.loss) {
+    if (used.blocked || node_[to].down || draw() < used.loss) {
       ++lost_;
       return;
     }
-    const auto range = static_cast<double>((way.most - way.least).count());
-    const Time at = now_ + way.least + Duration(static_cast<Duration::rep>(draw() * range));
-    events_.emplace(Key{at, serial_++}, Event{from, to, node_[to].life, std::move(message)});
+    const auto range = static_cast<double>((used.max_delay - used.min_delay).count());
+    const Time at = now_ + used.min_delay + Duration(static_cast<Duration::rep>(draw() * range));
+    events_.emplace(Key{at, serial_++}, Event{from, to, node_[to].lifetime, std::move(message)});
   }
-  // One alarm a node; the last one set counts. Time::max(): none.
+  // One alarm per node; the last one set replaces the others. Time::max(): none.
   void alarm(Node node, Time at) {
     at = std::max(at, now_);
     if (node_[node].alarm == at) return;
@@ -72,9 +71,10 @@
     if (at != Time::max()) alarms_.emplace(at, node);
   }
 
-  // Up to `until`: heard(node, from, message) for each message, due(node) for each alarm, which is then over.
-  template <class Heard, class Due>
-  void run(Time until, Heard heard, Due due) {
+  // Runs up to `until`: on_message(node, from, message) for each message, on_alarm(node) for each alarm,
+  // which is cleared before.
+  template <class OnMessage, class OnAlarm>
+  void run(Time until, OnMessage on_message, OnAlarm on_alarm) {
     while (true) {
       const Time message_at = events_.empty() ? Time::max() : events_.begin()->first.first;
       const Time alarm_at = alarms_.empty() ? Time::max() : alarms_.begin()->first;
@@ -84,13 +84,13 @@
         auto event = events_.extract(events_.begin());
         Event& e = event.mapped();
         State& to = node_[e.to];
-        if (to.down || to.life != e.life) {
+        if (to.down || to.lifetime != e.lifetime) {
           ++lost_;
         } else if (to.paused_until > now_) {
           event.key() = Key{to.paused_until, event.key().second};
           events_.insert(std::move(event));
         } else {
-          heard(e.to, e.from, std::as_const(e.message));
+          on_message(e.to, e.from, std::as_const(e.message));
         }
         continue;
       }
@@ -100,7 +100,7 @@
       if (paused > now_) {
         alarm(node, paused);
       } else {
-        due(node);
+        on_alarm(node);
       }
     }
     now_ = std::max(now_, until);
@@ -112,17 +112,17 @@
   [[nodiscard]] std::uint64_t lost() const { return lost_; }
 
  private:
-  using Key = std::pair<Time, std::uint64_t>;  // when, then in the order sent
+  using Key = std::pair<Time, std::uint64_t>;  // by time, then in the order sent
   struct Event {
     Node from = 0, to = 0;
-    std::uint64_t life = 0;
+    std::uint64_t lifetime = 0;
     Message message;
   };
   struct State {
     Time paused_until{};
     Time alarm = Time::max();
     bool down = false;
-    std::uint64_t life = 0;
+    std::uint64_t lifetime = 0;
   };
 
   double draw() {  // SplitMix64 (Steele, Lea, Flood 2014), in [0, 1)
--- a/tests/system_calls/fleet_link_test.cpp
+++ b/tests/system_calls/fleet_link_test.cpp
@@ -80,7 +80,7 @@
     if (const auto* came = std::get_if<MembershipReceived>(&event)) ++heard_[came->message.sequence];
     if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(last_)});
     if (const auto* over = std::get_if<Closed>(&event)) ++closed_[over->id];
-    const auto* said = std::get_if<Said>(&event);
+    const auto* said = std::get_if<ExchangeReceived>(&event);
     if (said == nullptr) return;
     ++said_[said->id];
     answers_ += is_own(said->id) ? 1 : 0;
