--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -29,7 +29,7 @@
 
 namespace reeltack::fleet::link {
 
-// What decides: fleet::Turn behind an adapter, or a test's script.
+// What decides: fleet::Coordinator behind an adapter, or a test's script.
 class Driver {
  public:
   Driver() = default;
--- a/tests/fleet/power.cpp
+++ b/tests/fleet/power.cpp
@@ -197,31 +197,29 @@
   EXPECT_TRUE(dealt.nobody.empty()) << dealt.nobody.size();
   Duration latest = Duration::min();
   std::size_t max_changes = 0;
-  std::uint64_t not_decided = 0;
+  std::uint64_t undecided = 0;
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const auto lines = verdicts(log_since_return(i));
     // From its own list or from another member, whichever came first.
-    std::optional<Time> received = barred_at(lines, drained);
-    if (members_[i].list && (!received || *members_[i].list < *received)) received = members_[i].list;
-    ASSERT_TRUE(received) << Rig::name(i) << " never received it";
-    const auto found =
-        rules_of(dealt.of[i], {{*received + kSlack, load::OfficeEvent::What::draining, drained}});
+    std::optional<Time> known = barred_at(lines, drained);
+    if (members_[i].list && (!known || *members_[i].list < *known)) known = members_[i].list;
+    ASSERT_TRUE(known) << Rig::name(i) << " never received it";
+    const auto found = rules_of(dealt.of[i], {{*known + kSlack, load::OfficeEvent::What::draining, drained}});
     EXPECT_EQ(found.total(), 0U) << Rig::name(i) << ::testing::PrintToString(found.samples);
-    not_decided += found.unsure;
+    undecided += found.unsure;
     for (const load::OfficeEvent& e : dealt.of[i])
       if (e.what == load::OfficeEvent::What::set_up && e.office == drained)
-        latest = std::max(latest, e.at - *received);
+        latest = std::max(latest, e.at - *known);
     std::size_t changes = 0;
     for (const VerdictLine& l : lines) changes += l.office == gone && !l.was.empty() ? 1 : 0;
     max_changes = std::max(max_changes, changes);
   }
-  std::printf("%llu rules not decided, because messages were read late\n",
-              static_cast<unsigned long long>(not_decided));
+  std::printf("%llu rules undecided, as messages were read late\n",
+              static_cast<unsigned long long>(undecided));
   std::printf("verdicts on the gone office changed at most %zu times at one controller\n", max_changes);
   if (latest != Duration::min())
-    std::printf(
-        "last set-up at the drained office %.3f s after its controller received the list (0.25 required)\n",
-        seconds(latest));
+    std::printf("last set-up at the drained office %.3f s after its controller knew (0.25 required)\n",
+                seconds(latest));
 }
 
 void Power::judge_urgent(const load::Played& played) {
--- a/tests/fleet/power_lists_test.cpp
+++ b/tests/fleet/power_lists_test.cpp
@@ -107,7 +107,7 @@
     EXPECT_EQ(offices_used(dealt.of[i], agreed + kSlack, before_third), expected) << Rig::name(i);
     const auto found = rules_of(dealt.of[i], {});
     EXPECT_EQ(found.total(), 0U) << Rig::name(i) << ::testing::PrintToString(found.samples);
-    std::printf("%s: %llu rules not decided, because messages were read late\n", Rig::name(i).c_str(),
+    std::printf("%s: %llu rules undecided, as messages were read late\n", Rig::name(i).c_str(),
                 static_cast<unsigned long long>(found.unsure));
   }
 }
