--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -71,7 +71,7 @@
     for (int n = 0; n < 2000; ++n) {
       const auto collect = [&](Time at) {
         for (const auto& [id, since] : unreported_since)  // next() is never later than the bound
-          ASSERT_LE(at - since, opens ? sums::kSoon : sums::kSlowReportInterval) << seed;
+          ASSERT_LE(at - since, opens ? sums::kFastReportInterval : sums::kSlowReportInterval) << seed;
         reader.collect(at);
         unreported_since.clear();
         for (const auto& [id, count] : expected) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
@@ -104,10 +104,11 @@
         ASSERT_FALSE(at_once) << seed;
         continue;
       }
-      const bool first_in_interval = !changed_at.contains(id) || now >= changed_at[id] + sums::kSoon;
+      const bool first_in_interval =
+          !changed_at.contains(id) || now >= changed_at[id] + sums::kFastReportInterval;
       ASSERT_EQ(at_once, first_in_interval) << seed;
       if (at_once) changed_at[id] = now;
-      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kSoon) << seed;
+      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kFastReportInterval) << seed;
       if (!at_once) continue;
       reader.collect(now);
       unreported_since.clear();
