--- a/src/base/wall_clock.cpp
+++ b/src/base/wall_clock.cpp
@@ -14,8 +14,8 @@
   return WallTime{std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch())};
 }
 
-clocks::Reading read_clocks() {
-  clocks::Reading best;
+clocks::ClockReading read_clocks() {
+  clocks::ClockReading best;
   Duration least = Duration::max();
   for (int i = 0; i < kTries && least > kClose; ++i) {
     const Time before = now();
--- a/src/base/wall_clock.h
+++ b/src/base/wall_clock.h
@@ -14,6 +14,6 @@
 
 WallTime wall_now();
 // Both clocks, within a few microseconds of each other.
-clocks::Reading read_clocks();
+clocks::ClockReading read_clocks();
 
 }  // namespace reeltack::base
--- a/src/clocks/boot_time.h
+++ b/src/clocks/boot_time.h
@@ -1,8 +1,8 @@
-// A moment of the machine's life since one of its boots, and the time between two of them.
+// A time since one of the machine's boots, and the time between two of them.
 //
-// Owns: the types alone. No step of the wall clock moves what they give; unlike Time, they keep their meaning
-//   on disk: a later process of the same boot finds the true age of what an earlier one wrote.
-// Must never: read a clock (base/boot_clock.h does), or give an age across a boot.
+// Unaffected by steps of the wall clock. Unlike Time, these remain meaningful on disk: a later process of the
+// same boot can compute the true age of what an earlier one has written. No age is given across a boot. Types
+// only: base/boot_clock.h reads the clock.
 #pragma once
 
 #include <array>
@@ -13,15 +13,15 @@
 
 namespace reeltack::clocks {
 
-/// Names a boot of a machine; all zero where that is not known.
+/// Identifies a boot of a machine; all zero: unknown.
 using BootId = std::array<std::uint8_t, 16>;
 
 struct BootTime {
   BootId boot{};
-  Duration since_boot{};  // the machine's time of suspension included
+  Duration since_boot{};  // including time in suspension
 };
 
-/// Nothing where the two are not known to be of the same boot, or `to` is before `from`.
+/// Nothing unless both are known to be of the same boot and `to` is not before `from`.
 inline std::optional<Duration> elapsed(const BootTime& from, const BootTime& to) {
   if (from.boot == BootId{} || from.boot != to.boot || to.since_boot < from.since_boot) return std::nullopt;
   return to.since_boot - from.since_boot;
--- a/src/clocks/wall_time.h
+++ b/src/clocks/wall_time.h
@@ -1,10 +1,8 @@
 // Unix time as a type of its own, and one reading of both clocks.
 //
-// Owns: the types alone. A wall clock may be stepped either way at any moment, so that a span is never
-// measured
-//   with it: Time (the monotonic clock) is for deadlines, waits and ages, WallTime for what the wire, the
-//   store or a log line gives in Unix time. Neither converts to the other.
-// Must never: read a clock; base/wall_clock.h does.
+// A wall clock may be stepped either way at any moment, so a span is never measured with it: Time (the
+// monotonic clock) is for deadlines, waits and ages; WallTime is for Unix times on the wire, in the store and
+// in log lines. Neither converts to the other. Types only: base/wall_clock.h reads the clocks.
 #pragma once
 
 #include <chrono>
@@ -29,7 +27,7 @@
 }
 
 // Both clocks read at the same moment.
-struct Reading {
+struct ClockReading {
   Time steady{};
   WallTime wall{};
 };
--- a/src/config/versions.cpp
+++ b/src/config/versions.cpp
@@ -25,7 +25,7 @@
 class Reader : yaml::FieldReader {
  public:
   Reader(const yaml::Document& document, const Node& node) : FieldReader(document), node_(node) {
-    const rules::Tree module = rules::read_back(node.settings, node.class_names);
+    const rules::Tree module = rules::rules_of(node.settings, node.class_names);
     for (const auto& [key, value] : module.rules()) known_.push_back(key);
     rules::Tree terms;
     add_terms({}, terms);
@@ -96,7 +96,7 @@
   void check(const Version& version) {
     const auto whole = [&](const std::string& name, const std::string& zone, const std::string& at) {
       rules::Tree tree;
-      rules::Rules running = rules::read_back(node_.settings, node_.class_names).rules();
+      rules::Rules running = rules::rules_of(node_.settings, node_.class_names).rules();
       for (const auto& [key, value] : required_rules(version, name, zone))
         running.insert_or_assign(key, value);
       for (const auto& [key, value] : running) static_cast<void>(tree.put(key, value));
@@ -128,7 +128,7 @@
 }
 
 rules::Tree rules_of(const Node& node, const Controllers& controllers) {
-  rules::Tree out = rules::read_back(node.settings, node.class_names);
+  rules::Tree out = rules::rules_of(node.settings, node.class_names);
   add_terms(controllers.turn, out);
   return out;
 }
@@ -139,10 +139,10 @@
   const rules::Rules wanted = required_rules(version, node.name, controllers.zone);
   for (const auto& [key, value] : wanted) {
     if (type_of_term(key)) continue;  // below, on what the settings have become
-    const std::string why = rules::lay_over(changed.settings, changed.class_names, key, value);
+    const std::string why = rules::apply_rule(changed.settings, changed.class_names, key, value);
     if (!why.empty()) out.push_back(why);
   }
-  for (std::string& broken : rules::violated_bounds(rules::read_back(changed.settings, changed.class_names)))
+  for (std::string& broken : rules::violated_bounds(rules::rules_of(changed.settings, changed.class_names)))
     out.push_back(std::move(broken));
   fleet::CoordinatorSettings turn = controllers.turn;
   for (const auto& [key, value] : wanted) {
--- a/src/core/admit.cpp
+++ b/src/core/admit.cpp
@@ -1,32 +1,30 @@
-// Admit: a new request enters the table, or is turned away before the module sees it.
-//
-// Owns: the checks that need no decision (known class, id not in use, deadline ahead).
-// Must never: weigh load or worth; that is the module's.
+// Admits new requests to the call table, or rejects them before the module receives them: duplicate ids,
+// unknown classes and deadlines that have passed. Decisions by load or worth belong to the module.
 #include "core/core.h"
 
 namespace reeltack::core {
 
-// An answer must be on its way before the caller's own clock runs out.
-constexpr Duration kAnswerAhead = std::chrono::milliseconds(8);
+// An answer must be sent before the caller's own deadline passes.
+constexpr Duration kAnswerLead = std::chrono::milliseconds(8);
 
 void Core::admit(Request request) {
-  const CallId call = request.told.call;
-  if (calls_.contains(call)) {  // one id, one call: the first goes on undisturbed
-    --open_;
-    request.side->refused(call, Why::duplicate, {});
+  const CallId call = request.arrival.call;
+  if (calls_.contains(call)) {  // the earlier call with this id is not affected
+    --open_calls_;
+    request.frontend->rejected(call, FailureReason::duplicate, {});
     return;
   }
   ++counts_.requests;
-  const Time leaves = request.told.caller_leaves_at - kAnswerAhead;
-  request.told.caller_leaves_at = leaves;
+  const Time deadline = request.arrival.caller_leaves_at - kAnswerLead;
+  request.arrival.caller_leaves_at = deadline;
   Record& record = calls_[call];
   record.request = std::move(request);
-  record.admitted = now_;
-  if (!record.request.class_known) return finish(record, Phase::failed, Why::unknown_class, {});
-  if (leaves <= now_) return finish(record, Phase::failed, Why::deadline_passed, {});
-  record.deadline =
-      timers_.emplace(leaves, Due{Due::Kind::deadline, static_cast<std::uint64_t>(call), 0, {}});
-  events_.emplace_back(record.request.told);
+  record.admitted_at = now_;
+  if (!record.request.class_known) return finish(record, Phase::failed, FailureReason::unknown_class, {});
+  if (deadline <= now_) return finish(record, Phase::failed, FailureReason::deadline_passed, {});
+  record.deadline_timer =
+      timers_.emplace(deadline, Timer{Timer::Kind::deadline, static_cast<std::uint64_t>(call), 0, {}});
+  events_.emplace_back(record.request.arrival);
 }
 
 }  // namespace reeltack::core
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -1,18 +1,17 @@
-// Book: the table of calls and the list of offices.
-//
-// Owns: each call's one final answer, how long its record is kept after, and which calls stand where.
-// Must never: forget a call that stands, or keep the others for ever.
+// The call table and the office list: gives each call its one final answer, counts the established calls of
+// each office, and bounds how long records of ended calls are retained. Established calls are never
+// discarded.
 #include "core/core.h"
 
 namespace reeltack::core {
 namespace {
 
-// So long a call's record outlives its end: a late answer or a client that asks again finds it.
-constexpr Duration kKept = std::chrono::seconds(30);
-// No more records of ended calls than this: a client that sends at full speed must not fill the memory.
-constexpr std::size_t kMostKept = 4096;
+// How long a record is retained after its call has ended, for late answers and repeated status queries.
+constexpr Duration kRetention = std::chrono::seconds(30);
+// Limits the records of ended calls, so that a client sending at full speed cannot exhaust the memory.
+constexpr std::size_t kMaxRetained = 4096;
 
-FullReason reason_of(const std::string& note) {
+FullReason full_reason(const std::string& note) {
   if (note == "blocked") return FullReason::no_lines;
   if (note == "swamped") return FullReason::processor;
   if (note == "bounced" || note == "far_swamped") return FullReason::turned_back;
@@ -26,97 +25,97 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-void Core::tell_ended(const Record& record, const Attempt& attempt, AttemptOutcome ending, bool call_ended,
-                      const Outcome* told) {
+void Core::report_attempt_ended(const Record& record, const Attempt& attempt, AttemptOutcome outcome,
+                                bool call_ended, const OfficeRelease* message) {
   AttemptEnded event;
-  event.call = record.request.told.call;
+  event.call = record.request.arrival.call;
   event.attempt = attempt.number;
   event.server = attempt.office;
-  event.ending = ending;
+  event.ending = outcome;
   event.call_ended = call_ended;
-  event.elapsed = now_ - attempt.sent;
-  if (told != nullptr) {
-    event.number_busy = ending == AttemptOutcome::busy_or_error && told->note == "occupied";
-    if (ending == AttemptOutcome::full) event.reason = reason_of(told->note);
-    event.report = told->report;
+  event.elapsed = now_ - attempt.sent_at;
+  if (message != nullptr) {
+    event.number_busy = outcome == AttemptOutcome::busy_or_error && message->note == "occupied";
+    if (outcome == AttemptOutcome::full) event.reason = full_reason(message->note);
+    event.report = message->report;
   }
   events_.emplace_back(event);
 }
 
-// The one final answer of a call that does not stand.
-void Core::finish(Record& record, Phase phase, Why why, Duration later) {
+// Gives a call that is not established its one final answer.
+void Core::finish(Record& record, Phase phase, FailureReason reason, Duration retry_after) {
   record.phase = phase;
-  record.why = why;
-  --open_;
-  ++(phase == Phase::refused ? counts_.refused : phase == Phase::failed ? counts_.failed : counts_.given_up);
-  if (phase != Phase::given_up)  // a caller that left first is counted under none
-    figures_.ended(record.request.told.call_class,
-                   phase == Phase::refused ? figures::End::busy : figures::End::failure);
-  const CallId call = record.request.told.call;
-  CallerFrontend* side = record.request.side;
-  keep_ended(record);
-  side->refused(call, why, later);
+  record.reason = reason;
+  --open_calls_;
+  ++(phase == Phase::refused ? counts_.refused : phase == Phase::failed ? counts_.failed : counts_.cancelled);
+  if (phase != Phase::cancelled)  // calls cancelled by their callers are not counted
+    metrics_.count_request(record.request.arrival.call_class,
+                           phase == Phase::refused ? figures::Outcome::busy : figures::Outcome::failure);
+  const CallId call = record.request.arrival.call;
+  CallerFrontend* frontend = record.request.frontend;
+  retain_ended(record);
+  frontend->rejected(call, reason, retry_after);
 }
 
-// The record outlives its call for a while, without what only an open call needs.
-void Core::keep_ended(Record& record) {
-  drop_deadline(record);
+// Retains the record of an ended call for a while, without the data that only an open call needs.
+void Core::retain_ended(Record& record) {
+  cancel_deadline_timer(record);
   record.request.description = {};
-  ended_.emplace_back(now_ + kKept, record.request.told.call);
-  while (!ended_.empty() && (ended_.size() > kMostKept || ended_.front().first <= now_)) {
-    if (ended_.front().second == record.request.told.call) break;
-    calls_.erase(ended_.front().second);
-    ended_.pop_front();
+  retained_.emplace_back(now_ + kRetention, record.request.arrival.call);
+  while (!retained_.empty() && (retained_.size() > kMaxRetained || retained_.front().first <= now_)) {
+    if (retained_.front().second == record.request.arrival.call) break;
+    calls_.erase(retained_.front().second);
+    retained_.pop_front();
   }
 }
-void Core::drop_deadline(Record& record) {
-  if (record.deadline) timers_.erase(*record.deadline);
-  record.deadline.reset();
+void Core::cancel_deadline_timer(Record& record) {
+  if (record.deadline_timer) timers_.erase(*record.deadline_timer);
+  record.deadline_timer.reset();
 }
 
-// A call that stood is over.
-void Core::close(Record& record) {
-  record.phase = Phase::over;
-  --standing_calls_;
+void Core::end_established(Record& record) {
+  record.phase = Phase::ended;
+  --established_calls_;
   record.answer = {};
-  standing(record.stands_at, -1);
-  keep_ended(record);
+  change_established_count(record.office, -1);
+  retain_ended(record);
 }
 
-void Core::standing(ServerId office, int change) {
-  int& n = standing_[office];
-  n += change;
-  if ((n == 1 && change > 0) || n == 0) offices_->keep(office, n > 0);
-  if (n == 0) standing_.erase(office);
+void Core::change_established_count(ServerId office, int change) {
+  int& established = established_at_office_[office];
+  established += change;
+  if ((established == 1 && change > 0) || established == 0)
+    backend_->keep_connection(office, established > 0);
+  if (established == 0) established_at_office_.erase(office);
 }
 
-// The process there has died or its machine is gone: its calls are cut, and their callers must hear of it.
-void Core::cut_calls_at(ServerId office) {
-  if (!standing_.contains(office)) return;
-  std::vector<CallId> cut;
+// The office's process has died or its machine is gone: drops its calls and notifies their callers.
+void Core::drop_calls_at(ServerId office) {
+  if (!established_at_office_.contains(office)) return;
+  std::vector<CallId> dropped;
   for (const auto& [call, record] : calls_) {
-    if (record.phase == Phase::stands && record.stands_at == office) cut.push_back(call);
+    if (record.phase == Phase::established && record.office == office) dropped.push_back(call);
   }
-  for (const CallId call : cut) {
+  for (const CallId call : dropped) {
     Record& record = calls_.at(call);
-    tell_ended(record, {record.attempts - 1, office, now_}, AttemptOutcome::reset, true);
-    close(record);
-    record.request.side->released(call, kTemporaryFailure);
+    report_attempt_ended(record, {record.attempts - 1, office, now_}, AttemptOutcome::reset, true);
+    end_established(record);
+    record.request.frontend->released(call, kTemporaryFailure);
   }
 }
 
-void Core::list(bool complete, const std::vector<OfficeEntry>& offices) {
+void Core::apply_list(bool complete, const std::vector<OfficeEntry>& offices) {
   ServerListReceived event;
   event.complete = complete;
   for (const OfficeEntry& o : offices) event.entries.push_back(o.entry);
-  for (const ServerId id : roster_.told(complete, event.entries)) cut_calls_at(id);
-  count_offices();
+  for (const ServerId id : roster_.update(complete, event.entries)) drop_calls_at(id);
+  update_office_metrics();
   events_.emplace_back(std::move(event));
 }
 
-void Core::watched(ServerId office, OfficeObserver::OfficeObservation what) const {
-  if (watcher_ != nullptr) watcher_->saw(office, what);
+void Core::notify_observer(ServerId office, OfficeObserver::OfficeObservation what) const {
+  if (observer_ != nullptr) observer_->observed(office, what);
 }
-void Core::count_offices() { figures_.listed(roster_.size(), roster_.avoided()); }
+void Core::update_office_metrics() { metrics_.set_hosts(roster_.size(), roster_.unavailable()); }
 
 }  // namespace reeltack::core
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,11 +1,10 @@
-// The core: requests, attempts, outcomes and offices, and the one thread that decides on them.
+// The core of the controller: one thread that owns the call table, the timers and the Controller.
 //
-// Owns: the Controller, the table of calls, the timers, and the rules that hold whatever crosses (one final
-//   answer a call, one attempt out at a time, a given-up attempt told to its office before the module hears).
-// Must never: know a wire, a socket or JSON; block on a peer; let any thread but its own touch the table.
-//
-// A request's stages, a unit each: take_in (inbox, batch, clock), admit, route (the module), send, relay,
-// book.
+// Invariants: each call gets exactly one final answer and has at most one attempt outstanding; a cancelled
+// attempt is cancelled at its office before the decision module is notified.
+// Wire formats, sockets and JSON belong to the frontends and backends. The core never blocks on a peer.
+// Thread safety: public functions may be called from any thread unless noted; only the core's thread accesses
+// the call table. One source file per stage of a request: take_in, admit, route, send, relay and book.
 #pragma once
 
 #include <atomic>
@@ -28,31 +27,39 @@
 
 namespace reeltack::core {
 
-inline constexpr int kNormalClearing = 16;    // Q.850: given up, or over
-inline constexpr int kTemporaryFailure = 41;  // Q.850: cut
-
-// Why a request failed; the fronts have names of their own for these.
-enum class Why { none, refused, attempts_failed, deadline_passed, duplicate, unknown_class, given_up };
+inline constexpr int kNormalClearing = 16;    // Q.850 cause: cancelled or released normally
+inline constexpr int kTemporaryFailure = 41;  // Q.850 cause: dropped
+
+// Why a request failed; each frontend maps these to its own protocol.
+enum class FailureReason {
+  none,
+  refused,
+  attempts_failed,
+  deadline_passed,
+  duplicate,
+  unknown_class,
+  cancelled
+};
 
-// A front, as the core sees it. Called on the core's thread; must not block.
+// Receives the results of a frontend's calls on the core's thread; must not block.
 class CallerFrontend {
  public:
   virtual ~CallerFrontend() = default;
-  // False: the answer cannot reach the caller any more.
-  virtual bool stands(CallId call, const std::string& description) = 0;
-  virtual void refused(CallId call, Why why, Duration later) = 0;
+  // False: the answer cannot be delivered to the caller.
+  virtual bool established(CallId call, const std::string& description) = 0;
+  virtual void rejected(CallId call, FailureReason reason, Duration retry_after) = 0;
   virtual void released(CallId call, int cause) = 0;
-  virtual void over(CallId call) = 0;  // its caller has released it: nothing of it need be kept
-  // False: the caller of an open call has left, though that has not been said yet. Asked before an attempt of
-  // a call that has waited.
-  virtual bool waits(CallId /*call*/) { return true; }
+  virtual void ended(CallId call) = 0;  // released by its caller: its state can be discarded
+  // False: the caller of an open call has left but has not reported it yet. Asked before an attempt for a
+  // call that has been queued.
+  virtual bool still_waiting(CallId /*call*/) { return true; }
 };
 
 struct SetUp {
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId office{};
-  Time give_up{};
+  Time expires_at{};
   std::uint32_t call_class = 0;
   CalledNumber number{};
   std::string description;
@@ -62,40 +69,35 @@
   std::string address;
 };
 
-// The offices, as the core sees them. Must not block. `listed` comes from the thread that heard the news.
+// Carries actions to offices; must not block. `listed` is called on the thread that received the list.
 class OfficeBackend {
  public:
   virtual ~OfficeBackend() = default;
   virtual void listed(bool complete, const std::vector<OfficeEntry>& offices) = 0;
   virtual void start(const SetUp& set_up) = 0;
-  virtual void give_up(ServerId office, CallId call, std::uint32_t attempt) = 0;
+  virtual void cancel(ServerId office, CallId call, std::uint32_t attempt) = 0;
   virtual void release(ServerId office, CallId call) = 0;
-  virtual void keep(ServerId office, bool calls_established) = 0;
+  virtual void keep_connection(ServerId office, bool calls_established) = 0;
 };
 
-// Who looks on at what offices do, to tell others of it. Called on the core's thread; must not block.
+// Receives what attempts and dialling show about offices, on the core's thread; must not block.
 class OfficeObserver {
  public:
-  enum class OfficeObservation {
-    answered,
-    refused,
-    broke,
-    silent,
-    unreachable
-  };  // refused: turned away by a live office
+  // `refused`: rejected by a live office.
+  enum class OfficeObservation { answered, refused, broke, silent, unreachable };
   virtual ~OfficeObserver() = default;
-  virtual void saw(ServerId office, OfficeObservation what) = 0;
+  virtual void observed(ServerId office, OfficeObservation what) = 0;
 };
 
 struct Request {
-  CallArrived told;         // with the absolute deadline
-  bool class_known = true;  // else it is refused here
+  CallArrived arrival;      // with the absolute deadline
+  bool class_known = true;  // false: the core rejects the request
   std::string description;
-  CallerFrontend* side = nullptr;
+  CallerFrontend* frontend = nullptr;
 };
 
-// What an office said that ends an attempt or a call.
-struct Outcome {
+// An office's message that ends an attempt or an established call.
+struct OfficeRelease {
   ServerId office{};
   CallId call{};
   int cause = 0;
@@ -103,12 +105,12 @@
   LoadReport report;
 };
 
-enum class Phase { unknown, open, stands, refused, failed, given_up, over };
-struct Status {  // of a call, for a client that asks
+enum class Phase { unknown, open, established, refused, failed, cancelled, ended };
+struct Status {  // of a call, for status queries
   Phase phase = Phase::unknown;
-  Why why = Why::none;
+  FailureReason reason = FailureReason::none;
   std::string description;
-  CallerFrontend* side = nullptr;
+  CallerFrontend* frontend = nullptr;
 };
 
 class Core {
@@ -118,133 +120,130 @@
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  // A release of a call from before this program's start goes to `strays`, if there is one.
-  void start(OfficeBackend& offices, CallerFrontend* strays = nullptr);  // the thread begins; once
-  void stop();                                                           // ends the thread
+  // Starts the core's thread; once. Releases of calls that predate this process go to `unknown_calls`, if
+  // set.
+  void start(OfficeBackend& backend, CallerFrontend* unknown_calls = nullptr);
+  void stop();  // ends the core's thread
 
-  // For fronts, from any thread.
+  // For frontends.
   void request(Request request);
-  // A front may end its own calls only.
-  void give_up(CallId call, const CallerFrontend& side);             // the caller waits no longer
-  void release(CallId call, const CallerFrontend& side);             // the caller ends a call that stands
-  void ask(CallId call, std::function<void(const Status&)> answer);  // answered on the core's thread
-
-  void at(Time time, std::function<void()> task);  // runs it on the core's thread, then or soon after
-
-  // For the offices' side, from any thread.
-  void answered(ServerId office, CallId call, std::string description);
-  void ended(Outcome outcome);
-  void reported(ServerId office, const LoadReport& report);
-  void attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome ending);
-  void office_lost(ServerId office);       // every call that stands there is cut
-  void attempt_transmitted();              // a set-up has begun to leave to its office
-  void reached(ServerId office, bool up);  // what dialling it has found
-  void told(bool complete, std::vector<OfficeEntry> offices);
-
-  void watch(OfficeObserver& watcher) { watcher_ = &watcher; }  // before start()
-  void terms(AdmissionLimitsReceived terms);                    // for the module, whole each time; any thread
-
-  void refuse_all();  // whatever is still open, at once: the program's time is up
-
-  [[nodiscard]] bool ready() const { return ready_; }  // a list is held and the module has taken it
-  [[nodiscard]] std::size_t open_calls() const { return open_; }  // without their final answer
-  // Taken and not ended: open, or standing and not released. A little more while a call goes over.
-  [[nodiscard]] std::size_t in_flight() const { return open_ + standing_calls_; }
-  // For supervision and tests: what the table counted.
-  struct Counts {
-    std::atomic<std::uint64_t> requests{0}, stood{0}, refused{0}, failed{0}, given_up{0}, attempts{0};
+  // A frontend may end its own calls only.
+  void cancel(CallId call, const CallerFrontend& frontend);            // the caller no longer waits
+  void release(CallId call, const CallerFrontend& frontend);           // the caller ends an established call
+  void query(CallId call, std::function<void(const Status&)> answer);  // `answer` runs on the core's thread
+  void run_at(Time time, std::function<void()> task);  // on the core's thread, at `time` or soon after
+  // For backends.
+  void office_answered(ServerId office, CallId call, std::string description);
+  void office_released(OfficeRelease message);
+  void load_reported(ServerId office, const LoadReport& report);
+  void attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome outcome);
+  void office_lost(ServerId office);                    // drops every call established there
+  void attempt_transmitted();                           // a set-up has begun to be written to its office
+  void reachability_changed(ServerId office, bool up);  // the result of dialling it
+  void update_offices(bool complete, std::vector<OfficeEntry> offices);
+
+  void set_observer(OfficeObserver& observer) { observer_ = &observer; }  // before start()
+  void set_admission_limits(AdmissionLimitsReceived limits);  // for the module; replaces all earlier limits
+
+  void refuse_all();  // answers every open call at once; used when the time for shutting down is up
+
+  [[nodiscard]] bool ready() const { return ready_; }  // the module has received a list of offices
+  [[nodiscard]] std::size_t open_calls() const { return open_calls_; }  // without their final answer
+  // Open or established calls. May count a call twice while it is being established.
+  [[nodiscard]] std::size_t in_flight() const { return open_calls_ + established_calls_; }
+  struct Counts {  // totals for supervision and tests
+    std::atomic<std::uint64_t> requests{0}, established{0}, refused{0}, failed{0}, cancelled{0}, attempts{0};
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  // What is decided by, as those hold it that use it: the module, and the core's own bound on attempts. Never
-  // changes; from any thread.
+  // The values in effect in the module and, for the limit on attempts, in the core. They never change.
   [[nodiscard]] const Settings& active_settings() const { return controller_.settings(); }
-  [[nodiscard]] std::uint32_t most_attempts() const { return settings_.attempts_cap; }
-  // The operators' figures, counted here where each request ends; read from any thread.
-  [[nodiscard]] const figures::Figures& figures() const { return figures_; }
+  [[nodiscard]] std::uint32_t max_attempts() const { return settings_.attempts_cap; }
+  // The operators' metrics, counted as each request ends.
+  [[nodiscard]] const figures::Metrics& metrics() const { return metrics_; }
 
  private:
   struct Attempt {
     std::uint32_t number = 0;
     ServerId office{};
-    Time sent{};
+    Time sent_at{};
   };
-  struct Due {
+  struct Timer {
     enum class Kind { module, attempt, deadline, task } kind{};
-    std::uint64_t id = 0;  // token or call
+    std::uint64_t id = 0;  // the timer token or the call
     std::uint32_t attempt = 0;
     std::function<void()> task{};
   };
   struct Record {
     Request request;
-    Time admitted{};
+    Time admitted_at{};
     Phase phase = Phase::open;
-    Why why = Why::none;
+    FailureReason reason = FailureReason::none;
     std::uint32_t attempts = 0;
-    std::optional<Attempt> out;
-    ServerId stands_at{};
+    std::optional<Attempt> pending;
+    ServerId office{};
     std::string answer;
-    std::optional<std::multimap<Time, Due>::iterator> deadline;
+    std::optional<std::multimap<Time, Timer>::iterator> deadline_timer;
   };
   using Task = std::function<void()>;
 
-  // take_in
+  // take_in.cpp
   void post(Task task);
   void run();
-  void take_timers();
-  // admit
+  void run_due_timers();
+  // admit.cpp
   void admit(Request request);
-  // route
+  // route.cpp
   void route();
-  void carry_out(const Action& action);
-  // send
-  void send(const SendSetUp& wanted);
-  void abandon(Record& record, AttemptOutcome ending, bool call_ended);
-  void attempt_over(CallId call, std::uint32_t attempt, AttemptOutcome ending);
-  // relay
+  void execute(const Action& action);
+  // send.cpp
+  void send(const SendSetUp& action);
+  void cancel_attempt(Record& record, AttemptOutcome outcome, bool call_ended);
+  void end_attempt(CallId call, std::uint32_t attempt, AttemptOutcome outcome);
+  // relay.cpp
   void relay_answer(ServerId office, CallId call, std::string description);
-  void relay_end(const Outcome& outcome);
-  void relay_release(CallId call, const CallerFrontend& side);
-  void relay_give_up(CallId call, const CallerFrontend& side);
-  // book
+  void relay_office_release(const OfficeRelease& message);
+  void relay_release(CallId call, const CallerFrontend& frontend);
+  void relay_cancel(CallId call, const CallerFrontend& frontend);
+  // book.cpp
   Record* find(CallId call);
-  void tell_ended(const Record& record, const Attempt& attempt, AttemptOutcome ending, bool call_ended,
-                  const Outcome* told = nullptr);
-  void finish(Record& record, Phase phase, Why why, Duration later);
-  void close(Record& record);
-  void keep_ended(Record& record);
-  void drop_deadline(Record& record);
-  void cut_calls_at(ServerId office);
-  void list(bool complete, const std::vector<OfficeEntry>& offices);
-  void standing(ServerId office, int change);
-  void count_offices();
-  void watched(ServerId office, OfficeObserver::OfficeObservation what) const;
+  void report_attempt_ended(const Record& record, const Attempt& attempt, AttemptOutcome outcome,
+                            bool call_ended, const OfficeRelease* message = nullptr);
+  void finish(Record& record, Phase phase, FailureReason reason, Duration retry_after);
+  void end_established(Record& record);
+  void retain_ended(Record& record);
+  void cancel_deadline_timer(Record& record);
+  void drop_calls_at(ServerId office);
+  void apply_list(bool complete, const std::vector<OfficeEntry>& offices);
+  void change_established_count(ServerId office, int change);
+  void update_office_metrics();
+  void notify_observer(ServerId office, OfficeObserver::OfficeObservation what) const;
 
   Controller controller_;
   Settings settings_;
-  OfficeBackend* offices_ = nullptr;
-  CallerFrontend* strays_ = nullptr;
-  OfficeObserver* watcher_ = nullptr;
+  OfficeBackend* backend_ = nullptr;
+  CallerFrontend* unknown_call_frontend_ = nullptr;
+  OfficeObserver* observer_ = nullptr;
   Counts counts_;
-  figures::Figures figures_;
+  figures::Metrics metrics_;
   std::atomic<bool> ready_{false};
-  std::atomic<std::size_t> open_{0};
-  std::atomic<std::size_t> standing_calls_{0};
+  std::atomic<std::size_t> open_calls_{0};
+  std::atomic<std::size_t> established_calls_{0};
 
-  std::mutex lock_;  // guards the inbox alone
-  std::condition_variable filled_;
+  std::mutex lock_;  // guards the inbox, asleep_ and stopping_
+  std::condition_variable inbox_changed_;
   std::vector<Task> inbox_;
-  bool asleep_ = false;  // it waits, and nobody has woken it
+  bool asleep_ = false;  // the core waits and has not been woken yet
   bool stopping_ = false;
 
-  // The core thread's own.
+  // Accessed by the core's thread only.
   Time now_{};
   std::vector<Event> events_;
   ActionSink actions_;
   std::unordered_map<CallId, Record> calls_;
-  std::multimap<Time, Due> timers_;
-  std::deque<std::pair<Time, CallId>> ended_;  // records kept of ended calls, and until when
+  std::multimap<Time, Timer> timers_;
+  std::deque<std::pair<Time, CallId>> retained_;  // ended calls and when to erase their records
   membership::Roster roster_;
-  std::map<ServerId, int> standing_;
+  std::map<ServerId, int> established_at_office_;
   base::Thread thread_;
 };
 
--- a/src/core/office_list.h
+++ b/src/core/office_list.h
@@ -1,8 +1,11 @@
-// The one list of offices, whoever tells of them: bulletin, zone, or centrales that register.
+// Merges the offices listed by all sources (bulletin, zone, registered centrales, trunk) into the core's
+// list.
 //
-// Owns: which source named which office, so that a complete list from one does not remove another's; and
-//   which side speaks to it. Since when each endpoint's process runs (`started_at`), from the start told.
-// Must never: name an office that no source named.
+// Records which source listed which office, so that a complete list from one source does not remove another's
+// offices, and routes actions to the backend of each office. Fills in since when each office's process runs
+// (`started_at`) from its reported start. An office is never listed unless a source has listed it.
+//
+// Thread safety: OfficeList may be used from any thread; OfficeRouter is set up before the core starts.
 #pragma once
 
 #include <functional>
@@ -18,90 +21,93 @@
 
 enum class Source { platform, zone, registered, trunk };
 
-// Decides which of the platform's offices are taken as ready, where others know of them too.
+// Decides which of the platform's offices count as ready where other controllers know of them too.
 class ListArbiter {
  public:
   virtual ~ListArbiter() = default;
-  // From the thread that heard it; must not block or call back. What the platform named: `live` once its list
-  // is followed, else it is what the configuration held. What a whole list leaves out isn't called gone: the
-  // governor says what becomes of it, since others may follow a list that names it.
+  // The offices that the platform has listed; called on the thread that received them; must not block or call
+  // back. `live`: the platform's list is being followed; else the offices are those of the configuration.
+  // Offices missing from a complete list are not reported as gone: the arbiter decides about them, since
+  // other controllers may follow a list that has them.
   virtual void listed(bool live, bool complete, const std::vector<OfficeEntry>& offices) = 0;
-  // The number of the list that listed() tells of from now on; of two of one life of the source the higher is
-  // newer.
-  virtual void numbered(std::uint64_t /*number*/) {}
-  virtual void restarted() {}  // the source: what comes next is a list of another life of it
-  virtual void caught_up() {}  // it has told all that it has
-  virtual void silent() = 0;   // it is followed no longer, for now
+  // The number of the list that the next calls of listed() belong to. Within one run of the source, the
+  // higher number is newer.
+  virtual void set_list_number(std::uint64_t /*number*/) {}
+  virtual void source_restarted() {}  // what follows is the list of another run of the source
+  virtual void source_caught_up() {}  // the source has sent all that it has
+  virtual void source_lost() = 0;     // the source is not followed for now
 };
 
 class OfficeList {
  public:
-  using ReadClocks = std::function<clocks::Reading()>;
-  // Made as the program starts: the wall clock of that moment is one of those that ages are taken by.
+  using ReadClocks = std::function<clocks::ClockReading()>;
+  // Construct at program start: ages of starts are derived from the wall clock of that moment, among others.
   explicit OfficeList(Core& core, ReadClocks read_clocks = base::read_clocks)
       : core_(core), read_clocks_(std::move(read_clocks)), start_times_(read_clocks_()) {}
-  // From then on what the platform names as draining or gone still passes at once, what it names as ready
-  // only by settled(). Before the first told().
-  void set_list_arbiter(ListArbiter& governor) { governor_ = &governor; }
-  // By the governor: what is to hold of these. One that the platform has named as draining or gone since,
-  // under this start or a later one, isn't revived.
-  void settled(std::vector<OfficeEntry> offices);
-  // The number of the platform's list that what is told next belongs to; of two lists the higher is newer.
-  void numbered(std::uint64_t number);
-  // The platform's source has begun anew from 1; its list is followed again once it has caught up, and what
-  // it has not named by then is on it no longer. Governed alone.
-  void restarted();
-  // The platform's source has nothing newer: its list is followed.
-  void caught_up();
-  [[nodiscard]] bool governed() const { return governor_ != nullptr; }
-  // Whether the platform's list is followed now: then all that it has named holds at this moment.
-  void live(bool followed);
-  // The platform's source has told all that it has, up to this moment.
-  void followed();
-  void told(Source source, bool complete, std::vector<OfficeEntry> offices);
+  // With an arbiter, offices that the platform lists as draining or gone still pass at once, but ready ones
+  // only by apply_decision(). Before the first update().
+  void set_list_arbiter(ListArbiter& arbiter) { arbiter_ = &arbiter; }
+  // Called by the arbiter with the states that these offices are to have. An office that the platform has
+  // since listed as draining or gone, with this start or a later one, is not revived.
+  void apply_decision(std::vector<OfficeEntry> offices);
+  // The number of the platform's list that the next updates belong to; of two lists the higher is newer.
+  void set_list_number(std::uint64_t number);
+  // The platform's source numbers its lists from 1 again. Its list is followed again once it has caught up;
+  // offices that it has not listed by then are no longer on it. Has an effect with an arbiter only.
+  void source_restarted();
+  // The platform's source has sent everything; from now on its list is followed.
+  void source_caught_up();
+  [[nodiscard]] bool has_arbiter() const { return arbiter_ != nullptr; }
+  // Whether the platform's list is followed: then everything on it is current.
+  void set_followed(bool followed);
+  // The platform's source has sent everything up to this moment.
+  void confirm_current();
+  void update(Source source, bool complete, std::vector<OfficeEntry> offices);
   [[nodiscard]] bool listed_by_other_source(Source source, ServerId office);
 
  private:
-  void follow(bool followed);
-  void fill_started(clocks::StartTimes::From from, std::vector<OfficeEntry>& offices);
+  void change_followed(bool followed);
+  void fill_started_at(clocks::StartTimes::Origin origin, std::vector<OfficeEntry>& offices);
 
   Core& core_;
   const ReadClocks read_clocks_;
   std::mutex lock_;  // guards what follows
   clocks::StartTimes start_times_;
-  ListArbiter* governor_ = nullptr;
-  bool live_ = false;
-  std::map<Source, std::map<ServerId, OfficeEntry>> named_;
-  std::set<ServerId> unnamed_;             // by the platform's source since it began anew, until it caught up
-  std::map<ServerId, OfficeEntry> ended_;  // governed: as the platform last named it, draining or gone
+  ListArbiter* arbiter_ = nullptr;
+  bool followed_ = false;
+  std::map<Source, std::map<ServerId, OfficeEntry>> listed_;
+  // Offices of the platform's source that it has not listed again since its restart; empty once it caught up.
+  std::set<ServerId> unconfirmed_;
+  // With an arbiter: offices that the platform last listed as draining or gone.
+  std::map<ServerId, OfficeEntry> withdrawn_;
 };
 
-// Sends each action to the side that the office belongs to: one that claims it, else the one that dials.
+// Routes each action to the backend that claims the office, else to the default one, which dials offices.
 class OfficeRouter final : public OfficeBackend {
  public:
   using Owns = std::function<bool(ServerId)>;
-  explicit OfficeRouter(OfficeBackend& dialled) : dialled_(dialled) {}
-  void add(OfficeBackend& side, Owns owns) {
-    sides_.push_back({&side, std::move(owns)});
+  explicit OfficeRouter(OfficeBackend& default_backend) : default_backend_(default_backend) {}
+  void add(OfficeBackend& backend, Owns owns) {
+    routes_.push_back({&backend, std::move(owns)});
   }  // before the core starts
   void listed(bool complete, const std::vector<OfficeEntry>& offices) override;
-  void start(const SetUp& set_up) override { side(set_up.office).start(set_up); }
-  void give_up(ServerId office, CallId call, std::uint32_t attempt) override {
-    side(office).give_up(office, call, attempt);
+  void start(const SetUp& set_up) override { backend_of(set_up.office).start(set_up); }
+  void cancel(ServerId office, CallId call, std::uint32_t attempt) override {
+    backend_of(office).cancel(office, call, attempt);
   }
-  void release(ServerId office, CallId call) override { side(office).release(office, call); }
-  void keep(ServerId office, bool calls_established) override {
-    side(office).keep(office, calls_established);
+  void release(ServerId office, CallId call) override { backend_of(office).release(office, call); }
+  void keep_connection(ServerId office, bool calls_established) override {
+    backend_of(office).keep_connection(office, calls_established);
   }
 
  private:
-  struct Side {
-    OfficeBackend* side;
+  struct Route {
+    OfficeBackend* backend;
     Owns owns;
   };
-  OfficeBackend& side(ServerId office);
-  OfficeBackend& dialled_;
-  std::vector<Side> sides_;
+  OfficeBackend& backend_of(ServerId office);
+  OfficeBackend& default_backend_;
+  std::vector<Route> routes_;
 };
 
 }  // namespace reeltack::core
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -1,13 +1,11 @@
-// Relay: what offices and callers say about attempts and standing calls, passed on to the other side.
-//
-// Owns: the meaning of causes and notes, and the release of whatever has stood and is over.
-// Must never: answer a call twice, or leave an office holding a call that nobody wants.
+// Relays messages about attempts and established calls between offices and callers, and interprets release
+// causes. No call is answered twice, and no office is left holding a call that has no caller.
 #include "core/core.h"
 
 namespace reeltack::core {
 namespace {
 
-AttemptOutcome ending_of(int cause) {
+AttemptOutcome outcome_of(int cause) {
   switch (cause) {
     case 34:
       return AttemptOutcome::full;
@@ -17,7 +15,7 @@
       return AttemptOutcome::reset;
     case kNormalClearing:
       return AttemptOutcome::cancelled;
-    default:  // 17, 47 and what the protocol does not name
+    default:  // 17, 47 and causes that the protocol does not define
       return AttemptOutcome::busy_or_error;
   }
 }
@@ -26,77 +24,80 @@
 
 void Core::relay_answer(ServerId office, CallId call, std::string description) {
   Record* r = find(call);
-  if (r != nullptr && r->phase == Phase::stands && r->stands_at == office) return;  // said twice
-  if (r == nullptr || r->phase != Phase::open || !r->out || r->out->office != office) {
-    offices_->release(office, call);  // an answer that crossed our giving up: nobody wants the call
+  if (r != nullptr && r->phase == Phase::established && r->office == office) return;  // repeated
+  if (r == nullptr || r->phase != Phase::open || !r->pending || r->pending->office != office) {
+    backend_->release(office, call);  // the answer crossed our cancellation
     return;
   }
-  const Attempt attempt = *r->out;
-  r->out.reset();
-  r->phase = Phase::stands;
-  r->stands_at = office;
+  const Attempt attempt = *r->pending;
+  r->pending.reset();
+  r->phase = Phase::established;
+  r->office = office;
   r->answer = std::move(description);
-  drop_deadline(*r);
-  ++standing_calls_;
-  --open_;
-  ++counts_.stood;
-  figures_.ended(r->request.told.call_class, figures::End::success);
-  watched(office, OfficeObserver::OfficeObservation::answered);
-  standing(office, +1);
-  events_.emplace_back(CallEstablished{call, attempt.number, office, now_ - attempt.sent});
-  if (r->request.side->stands(call, r->answer)) return;
-  offices_->release(office, call);  // the caller is out of reach, so the call is over
-  close(*r);
+  cancel_deadline_timer(*r);
+  ++established_calls_;
+  --open_calls_;
+  ++counts_.established;
+  metrics_.count_request(r->request.arrival.call_class, figures::Outcome::success);
+  notify_observer(office, OfficeObserver::OfficeObservation::answered);
+  change_established_count(office, +1);
+  events_.emplace_back(CallEstablished{call, attempt.number, office, now_ - attempt.sent_at});
+  if (r->request.frontend->established(call, r->answer)) return;
+  backend_->release(office, call);  // the caller is unreachable, so the call ends
+  end_established(*r);
 }
 
-void Core::relay_end(const Outcome& outcome) {
-  Record* r = find(outcome.call);
-  const bool known = roster_.holds(outcome.office);
-  if (known && outcome.report.free_lines >= 0.0)
-    events_.emplace_back(ServerReported{outcome.office, true, {}, outcome.report});
+void Core::relay_office_release(const OfficeRelease& message) {
+  Record* r = find(message.call);
+  const bool known = roster_.contains(message.office);
+  if (known && message.report.free_lines >= 0.0)
+    events_.emplace_back(ServerReported{message.office, true, {}, message.report});
   if (r == nullptr) {
-    // The call stood before this program started: its caller still waits for the release.
-    const bool over = outcome.cause == kNormalClearing || outcome.cause == kTemporaryFailure;
-    if (over && strays_ != nullptr) strays_->released(outcome.call, outcome.cause);
+    // The call was established before this process started: its caller still waits for the release.
+    const bool ended = message.cause == kNormalClearing || message.cause == kTemporaryFailure;
+    if (ended && unknown_call_frontend_ != nullptr)
+      unknown_call_frontend_->released(message.call, message.cause);
     return;
   }
-  if (r->phase == Phase::stands && r->stands_at == outcome.office) {
-    const Attempt attempt{r->attempts - 1, outcome.office, now_};
-    tell_ended(*r, attempt, outcome.cause == kNormalClearing ? AttemptOutcome::ok : AttemptOutcome::reset,
-               true, &outcome);
-    close(*r);
-    r->request.side->released(outcome.call, outcome.cause);
+  if (r->phase == Phase::established && r->office == message.office) {
+    const Attempt attempt{r->attempts - 1, message.office, now_};
+    report_attempt_ended(*r, attempt,
+                         message.cause == kNormalClearing ? AttemptOutcome::ok : AttemptOutcome::reset, true,
+                         &message);
+    end_established(*r);
+    r->request.frontend->released(message.call, message.cause);
     return;
   }
-  if (r->phase != Phase::open || !r->out || r->out->office != outcome.office) return;
-  const Attempt attempt = *r->out;
-  r->out.reset();
-  const AttemptOutcome ending = ending_of(outcome.cause);
-  watched(outcome.office, ending == AttemptOutcome::full ? OfficeObserver::OfficeObservation::refused
-                          : ending == AttemptOutcome::busy_or_error
-                              ? OfficeObserver::OfficeObservation::answered
-                              : OfficeObserver::OfficeObservation::broke);
-  tell_ended(*r, attempt, ending, false, &outcome);
+  if (r->phase != Phase::open || !r->pending || r->pending->office != message.office) return;
+  const Attempt attempt = *r->pending;
+  r->pending.reset();
+  const AttemptOutcome attempt_outcome = outcome_of(message.cause);
+  notify_observer(message.office, attempt_outcome == AttemptOutcome::full
+                                      ? OfficeObserver::OfficeObservation::refused
+                                  : attempt_outcome == AttemptOutcome::busy_or_error
+                                      ? OfficeObserver::OfficeObservation::answered
+                                      : OfficeObserver::OfficeObservation::broke);
+  report_attempt_ended(*r, attempt, attempt_outcome, false, &message);
 }
 
-void Core::relay_release(CallId call, const CallerFrontend& side) {
+void Core::relay_release(CallId call, const CallerFrontend& frontend) {
   Record* r = find(call);
-  if (r == nullptr || r->request.side != &side) return;
-  if (r->phase == Phase::open) return relay_give_up(call, side);  // it crossed our answer, or came too early
-  if (r->phase != Phase::stands) return;
-  offices_->release(r->stands_at, call);
-  tell_ended(*r, {r->attempts - 1, r->stands_at, now_}, AttemptOutcome::cancelled, true);
-  close(*r);
-  r->request.side->over(call);
+  if (r == nullptr || r->request.frontend != &frontend) return;
+  if (r->phase == Phase::open) return relay_cancel(call, frontend);  // crossed our answer or came too early
+  if (r->phase != Phase::established) return;
+  backend_->release(r->office, call);
+  report_attempt_ended(*r, {r->attempts - 1, r->office, now_}, AttemptOutcome::cancelled, true);
+  end_established(*r);
+  r->request.frontend->ended(call);
 }
 
-void Core::relay_give_up(CallId call, const CallerFrontend& side) {
+void Core::relay_cancel(CallId call, const CallerFrontend& frontend) {
   Record* r = find(call);
-  if (r == nullptr || r->phase != Phase::open || r->request.side != &side)
-    return;  // answered already: that answer stays the only one
+  if (r == nullptr || r->phase != Phase::open || r->request.frontend != &frontend)
+    return;  // already answered
   events_.emplace_back(CallerLeft{call});
-  abandon(*r, AttemptOutcome::cancelled, true);
-  finish(*r, Phase::given_up, Why::given_up, {});
+  cancel_attempt(*r, AttemptOutcome::cancelled, true);
+  finish(*r, Phase::cancelled, FailureReason::cancelled, {});
 }
 
 }  // namespace reeltack::core
--- a/src/core/route.cpp
+++ b/src/core/route.cpp
@@ -1,7 +1,4 @@
-// Route: the module decides on a batch, and its actions are carried out in their order.
-//
-// Owns: the hand-over to the Controller and back.
-// Must never: change, delay or reorder an action.
+// Passes a batch of events to the module and executes its actions in order, unchanged and without delay.
 #include "core/core.h"
 
 namespace reeltack::core {
@@ -12,30 +9,31 @@
   actions_.clear();
   controller_.on(now_, batch, actions_);
   const ActionSink actions = std::move(actions_);
-  for (const Action& action : actions) carry_out(action);
-  // Ready is what the module can decide on: it holds a list.
+  for (const Action& action : actions) execute(action);
+  // Ready once the module has a list to decide on.
   if (!ready_ && roster_.size() > 0) ready_ = true;
 }
 
-void Core::carry_out(const Action& action) {
-  if (const auto* wanted = std::get_if<SendSetUp>(&action)) return send(*wanted);
+void Core::execute(const Action& action) {
+  if (const auto* set_up = std::get_if<SendSetUp>(&action)) return send(*set_up);
   if (const auto* refusal = std::get_if<Refuse>(&action)) {
     Record* r = find(refusal->call);
     if (r != nullptr && r->phase == Phase::open)
-      finish(*r, Phase::refused, Why::refused, refusal->retry_after);
+      finish(*r, Phase::refused, FailureReason::refused, refusal->retry_after);
   } else if (const auto* failure = std::get_if<Fail>(&action)) {
     Record* r = find(failure->call);
     if (r == nullptr || r->phase != Phase::open) return;
-    abandon(*r, AttemptOutcome::cancelled, true);
-    finish(*r, Phase::failed, Why::attempts_failed, {});
+    cancel_attempt(*r, AttemptOutcome::cancelled, true);
+    finish(*r, Phase::failed, FailureReason::attempts_failed, {});
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-    attempt_over(cancel->call, cancel->attempt, AttemptOutcome::cancelled);
+    end_attempt(cancel->call, cancel->attempt, AttemptOutcome::cancelled);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-    timers_.emplace(timer->at, Due{Due::Kind::module, static_cast<std::uint64_t>(timer->token), 0, {}});
+    timers_.emplace(timer->at, Timer{Timer::Kind::module, static_cast<std::uint64_t>(timer->token), 0, {}});
   } else if (const auto* line = std::get_if<LogLine>(&action)) {
     base::log_line("module: " + line->text);
   }
-  // Probing, telling peers and asking for the list are not permitted or not needed here: the list is pushed.
+  // Probing, messages to peers and requests for the list are not permitted or not needed here: the list is
+  // pushed.
 }
 
 }  // namespace reeltack::core
--- a/src/core/send.cpp
+++ b/src/core/send.cpp
@@ -1,61 +1,62 @@
-// Send: attempts, from the module's wish to their giving up.
-//
-// Owns: that a call has one attempt out at the most, that the cap holds, and that an attempt is given up to
-//   its office before its end is told to the module.
-// Must never: choose an office, or send to one that the table does not list as ready.
+// Sends and cancels attempts. A call has at most one attempt outstanding and never exceeds the limit on
+// attempts; nothing is sent to an office that is not listed as ready. An attempt is cancelled at its office
+// before its end is reported to the module, which chooses the offices.
 #include "core/core.h"
 
 namespace reeltack::core {
 namespace {
 
-// A caller that left no longer ago than this needs no notice: an attempt may begin so soon after.
-constexpr Duration kNoticed = std::chrono::milliseconds(20);
+// An attempt may still begin this soon after its caller has left, so a call admitted within it is not
+// checked.
+constexpr Duration kLeaveNotice = std::chrono::milliseconds(20);
 
 }  // namespace
 
-void Core::send(const SendSetUp& wanted) {
-  Record* r = find(wanted.call);
+void Core::send(const SendSetUp& action) {
+  Record* r = find(action.call);
   if (r == nullptr || r->phase != Phase::open) return;
-  const Attempt attempt{r->attempts, wanted.server, now_};
-  if (!roster_.ready(wanted.server) || r->out || r->attempts >= settings_.attempts_cap) {
-    // Guards the rules against a mistake anywhere above: what must not go out is moot, at once.
+  const Attempt attempt{r->attempts, action.server, now_};
+  if (!roster_.ready(action.server) || r->pending || r->attempts >= settings_.attempts_cap) {
+    // Enforces the invariants against a faulty decision: such an attempt ends at once, unsent.
     ++r->attempts;
-    return tell_ended(*r, attempt, AttemptOutcome::not_sent, false);
+    return report_attempt_ended(*r, attempt, AttemptOutcome::not_sent, false);
   }
-  if (now_ >= r->admitted + kNoticed && !r->request.side->waits(wanted.call)) {
+  if (now_ >= r->admitted_at + kLeaveNotice && !r->request.frontend->still_waiting(action.call)) {
     ++r->attempts;
-    tell_ended(*r, attempt, AttemptOutcome::not_sent, true);
-    return finish(*r, Phase::given_up, Why::given_up, {});
+    report_attempt_ended(*r, attempt, AttemptOutcome::not_sent, true);
+    return finish(*r, Phase::cancelled, FailureReason::cancelled, {});
   }
   ++r->attempts;
   ++counts_.attempts;
-  r->out = attempt;
-  const Time latest = r->request.told.caller_leaves_at;
-  const Time give_up = wanted.give_up == Time{} ? latest : std::min(wanted.give_up, latest);
-  if (give_up < latest)  // the deadline has a timer of its own
-    timers_.emplace(give_up,
-                    Due{Due::Kind::attempt, static_cast<std::uint64_t>(wanted.call), attempt.number, {}});
-  const CallArrived& told = r->request.told;
-  offices_->start({wanted.call, attempt.number, wanted.server, give_up, told.call_class, told.number,
+  r->pending = attempt;
+  const Time latest = r->request.arrival.caller_leaves_at;
+  const Time expires_at = action.give_up == Time{} ? latest : std::min(action.give_up, latest);
+  if (expires_at < latest)  // the deadline has a timer of its own
+    timers_.emplace(expires_at,
+                    Timer{Timer::Kind::attempt, static_cast<std::uint64_t>(action.call), attempt.number, {}});
+  const CallArrived& arrival = r->request.arrival;
+  backend_->start({action.call, attempt.number, action.server, expires_at, arrival.call_class, arrival.number,
                    r->request.description});
 }
 
-void Core::abandon(Record& record, AttemptOutcome ending, bool call_ended) {
-  if (!record.out) return;
-  const Attempt attempt = *record.out;
-  record.out.reset();
-  offices_->give_up(attempt.office, record.request.told.call, attempt.number);
-  tell_ended(record, attempt, ending, call_ended);
+void Core::cancel_attempt(Record& record, AttemptOutcome outcome, bool call_ended) {
+  if (!record.pending) return;
+  const Attempt attempt = *record.pending;
+  record.pending.reset();
+  backend_->cancel(attempt.office, record.request.arrival.call, attempt.number);
+  report_attempt_ended(record, attempt, outcome, call_ended);
 }
 
-void Core::attempt_over(CallId call, std::uint32_t number, AttemptOutcome ending) {
+void Core::end_attempt(CallId call, std::uint32_t number, AttemptOutcome outcome) {
   Record* r = find(call);
-  if (r == nullptr || r->phase != Phase::open || !r->out || r->out->number != number) return;
-  if (ending == AttemptOutcome::timeout) watched(r->out->office, OfficeObserver::OfficeObservation::silent);
-  if (ending == AttemptOutcome::connect_failed)
-    watched(r->out->office, OfficeObserver::OfficeObservation::unreachable);
-  if (ending == AttemptOutcome::reset) watched(r->out->office, OfficeObserver::OfficeObservation::broke);
-  abandon(*r, ending, false);
+  if (r == nullptr || r->phase != Phase::open || !r->pending || r->pending->number != number) return;
+  if (outcome == AttemptOutcome::timeout)
+    notify_observer(r->pending->office, OfficeObserver::OfficeObservation::silent);
+  if (outcome == AttemptOutcome::connect_failed)
+    notify_observer(r->pending->office, OfficeObserver::OfficeObservation::unreachable);
+  if (outcome == AttemptOutcome::reset)
+    notify_observer(r->pending->office, OfficeObserver::OfficeObservation::broke);
+  cancel_attempt(*r, outcome, false);
 }
 
 }  // namespace reeltack::core
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -1,18 +1,16 @@
-// Take in: the inbox, the one thread, its clock and its timers.
-//
-// Owns: that all that came since the last turn is handed on as one batch, at one time that never goes back.
-// Must never: decide on a call, or run a task on any other thread than the core's.
+// The core's inbox, thread, clock and timers. Each step of the thread takes everything posted since the
+// previous step as one batch, at one time that never goes back. Tasks run on the core's thread only.
 #include "core/core.h"
 
 namespace reeltack::core {
 
 Core::Core(const Settings& settings, std::uint64_t seed)
-    : controller_(settings, seed), settings_(settings), figures_(settings.classes.size()) {}
+    : controller_(settings, seed), settings_(settings), metrics_(settings.classes.size()) {}
 Core::~Core() { stop(); }
 
-void Core::start(OfficeBackend& offices, CallerFrontend* strays) {
-  offices_ = &offices;
-  strays_ = strays;
+void Core::start(OfficeBackend& backend, CallerFrontend* unknown_calls) {
+  backend_ = &backend;
+  unknown_call_frontend_ = unknown_calls;
   now_ = base::now();
   thread_ = base::Thread([this] { run(); });
 }
@@ -21,12 +19,12 @@
   {
     const std::lock_guard hold(lock_);
     stopping_ = true;
-    filled_.notify_one();
+    inbox_changed_.notify_one();
   }
   thread_.join();
 }
 
-// The core is woken once for each of its sleeps, and finds the lock free.
+// Wakes the core at most once for each wait, after releasing the lock.
 void Core::post(Task task) {
   bool wake = false;
   {
@@ -34,63 +32,64 @@
     inbox_.push_back(std::move(task));
     wake = std::exchange(asleep_, false);
   }
-  if (wake) filled_.notify_one();
+  if (wake) inbox_changed_.notify_one();
 }
 
 void Core::request(Request request) {
-  ++open_;  // from here on it is owed an answer, and the program may not end
+  ++open_calls_;  // the request must be answered before the program may end
   post([this, r = std::move(request)]() mutable { admit(std::move(r)); });
 }
-void Core::give_up(CallId call, const CallerFrontend& side) {
-  post([this, call, &side] { relay_give_up(call, side); });
+void Core::cancel(CallId call, const CallerFrontend& frontend) {
+  post([this, call, &frontend] { relay_cancel(call, frontend); });
 }
-void Core::release(CallId call, const CallerFrontend& side) {
-  post([this, call, &side] { relay_release(call, side); });
+void Core::release(CallId call, const CallerFrontend& frontend) {
+  post([this, call, &frontend] { relay_release(call, frontend); });
 }
-void Core::ask(CallId call, std::function<void(const Status&)> answer) {
+void Core::query(CallId call, std::function<void(const Status&)> answer) {
   post([this, call, answer = std::move(answer)] {
     const Record* r = find(call);
-    answer(r == nullptr ? Status{} : Status{r->phase, r->why, r->answer, r->request.side});
+    answer(r == nullptr ? Status{} : Status{r->phase, r->reason, r->answer, r->request.frontend});
   });
 }
-void Core::at(Time time, std::function<void()> task) {
+void Core::run_at(Time time, std::function<void()> task) {
   post([this, time, task = std::move(task)]() mutable {
-    timers_.emplace(time, Due{Due::Kind::task, 0, 0, std::move(task)});
+    timers_.emplace(time, Timer{Timer::Kind::task, 0, 0, std::move(task)});
   });
 }
-void Core::answered(ServerId office, CallId call, std::string description) {
+void Core::office_answered(ServerId office, CallId call, std::string description) {
   post([this, office, call, d = std::move(description)]() mutable {
     relay_answer(office, call, std::move(d));
   });
 }
-void Core::ended(Outcome outcome) {
-  post([this, o = std::move(outcome)] { relay_end(o); });
+void Core::office_released(OfficeRelease message) {
+  post([this, m = std::move(message)] { relay_office_release(m); });
 }
-void Core::reported(ServerId office, const LoadReport& report) {
+void Core::load_reported(ServerId office, const LoadReport& report) {
   post([this, office, report] {
-    if (roster_.holds(office)) events_.emplace_back(ServerReported{office, true, {}, report});
+    if (roster_.contains(office)) events_.emplace_back(ServerReported{office, true, {}, report});
   });
 }
-void Core::attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome ending) {
-  post([this, call, attempt, ending] { attempt_over(call, attempt, ending); });
+void Core::attempt_failed(CallId call, std::uint32_t attempt, AttemptOutcome outcome) {
+  post([this, call, attempt, outcome] { end_attempt(call, attempt, outcome); });
 }
-void Core::attempt_transmitted() { figures_.attempted(); }
-void Core::reached(ServerId office, bool up) {
+void Core::attempt_transmitted() { metrics_.count_attempt(); }
+void Core::reachability_changed(ServerId office, bool up) {
   post([this, office, up] {
-    if (!up) watched(office, OfficeObserver::OfficeObservation::unreachable);
-    if (roster_.reached(office, up)) count_offices();
+    if (!up) notify_observer(office, OfficeObserver::OfficeObservation::unreachable);
+    if (roster_.set_reachable(office, up)) update_office_metrics();
   });
 }
-void Core::terms(AdmissionLimitsReceived terms) {
-  post([this, t = std::move(terms)]() mutable { events_.emplace_back(std::move(t)); });
+void Core::set_admission_limits(AdmissionLimitsReceived limits) {
+  post([this, l = std::move(limits)]() mutable { events_.emplace_back(std::move(l)); });
 }
 void Core::office_lost(ServerId office) {
-  post([this, office] { cut_calls_at(office); });
+  post([this, office] { drop_calls_at(office); });
 }
-void Core::told(bool complete, std::vector<OfficeEntry> offices) {
-  // The senders' side hears first: a set-up that is about to leave must not reach an office told as draining.
-  if (offices_ != nullptr) offices_->listed(complete, offices);
-  post([this, complete, o = std::move(offices)] { list(complete, o); });
+void Core::update_offices(bool complete, std::vector<OfficeEntry> offices) {
+  // The backend is updated first: a set-up that is about to be sent must not reach an office listed as
+  // draining.
+  if (backend_ != nullptr) backend_->listed(complete, offices);
+  post([this, complete, o = std::move(offices)] { apply_list(complete, o); });
 }
 
 void Core::refuse_all() {
@@ -102,11 +101,11 @@
     for (const CallId call : open) {
       Record& record = calls_.at(call);
       events_.emplace_back(CallerLeft{call});
-      abandon(record, AttemptOutcome::cancelled, true);
-      if (record.attempts > 0) {  // it may have had an effect
-        finish(record, Phase::failed, Why::attempts_failed, {});
+      cancel_attempt(record, AttemptOutcome::cancelled, true);
+      if (record.attempts > 0) {  // an attempt may have had an effect
+        finish(record, Phase::failed, FailureReason::attempts_failed, {});
       } else {
-        finish(record, Phase::refused, Why::refused, {});
+        finish(record, Phase::refused, FailureReason::refused, {});
       }
     }
   });
@@ -120,9 +119,9 @@
       const auto filled = [this] { return stopping_ || !inbox_.empty(); };
       asleep_ = !filled();
       if (timers_.empty()) {
-        filled_.wait(hold, filled);
+        inbox_changed_.wait(hold, filled);
       } else {
-        filled_.wait_until(hold, base::to_steady(timers_.begin()->first), filled);
+        inbox_changed_.wait_until(hold, base::to_steady(timers_.begin()->first), filled);
       }
       asleep_ = false;
       if (stopping_) return;
@@ -131,37 +130,38 @@
     now_ = base::now();
     for (Task& task : batch) task();
     batch.clear();
-    take_timers();
+    run_due_timers();
     while (!events_.empty()) {
-      // Read again: the module counts a release guard from here, and what was given up above is released now.
+      // Read the clock again: the module counts release guards from this time, and the attempts cancelled
+      // above have been released only now.
       now_ = std::max(now_, base::now());
       route();
     }
   }
 }
 
-void Core::take_timers() {
+void Core::run_due_timers() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
-    const Due due = std::move(timers_.begin()->second);
+    const Timer timer = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    const CallId call{due.id};
-    switch (due.kind) {
-      case Due::Kind::module:
-        events_.emplace_back(TimerFired{TimerToken{due.id}});
+    const CallId call{timer.id};
+    switch (timer.kind) {
+      case Timer::Kind::module:
+        events_.emplace_back(TimerFired{TimerToken{timer.id}});
         break;
-      case Due::Kind::attempt:
-        attempt_over(call, due.attempt, AttemptOutcome::timeout);
+      case Timer::Kind::attempt:
+        end_attempt(call, timer.attempt, AttemptOutcome::timeout);
         break;
-      case Due::Kind::deadline:
+      case Timer::Kind::deadline:
         if (Record* r = find(call); r != nullptr && r->phase == Phase::open) {
-          r->deadline.reset();  // it has just been taken off
+          r->deadline_timer.reset();  // this timer has just been removed
           events_.emplace_back(CallerLeft{call});
-          abandon(*r, AttemptOutcome::timeout, true);
-          finish(*r, Phase::failed, Why::deadline_passed, {});
+          cancel_attempt(*r, AttemptOutcome::timeout, true);
+          finish(*r, Phase::failed, FailureReason::deadline_passed, {});
         }
         break;
-      case Due::Kind::task:
-        due.task();
+      case Timer::Kind::task:
+        timer.task();
         break;
     }
   }
--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -92,7 +92,7 @@
     changes.push_back(entry);
   }
   for (const core::OfficeEntry& office : changes) told_[office.entry.server] = office;
-  list_.told(core::Source::zone, false, std::move(changes));
+  list_.update(core::Source::zone, false, std::move(changes));
 }
 
 // With the lock held. An outage is logged at its beginning, while it lasts, and at its end.
--- a/src/fleet/drift/drift.cpp
+++ b/src/fleet/drift/drift.cpp
@@ -153,14 +153,14 @@
     actions.emplace_back(Publish{{facts::Kind::vote, 0}, write(*published_vote_)});
   }
   if (!tree_) return;
-  Word word{by(), 0, tree_->whole(), false, {}};
+  Word word{by(), 0, tree_->digest(), false, {}};
   if (approval_.approved()) {
     const rules::Rules wanted = required_rules(*approval_.approved(), settings_.name, settings_.zone);
     word.governed = rules::digest_of(wanted, *tree_);
     word.named = rules::differences(*tree_, wanted);
     word.pending = !word.named.empty() && !held_since_start_;
     if (word.named.size() > kMostNamed) word.named.resize(kMostNamed);
-    for (rules::Difference& d : word.named) d.wanted.reset();  // whoever reads it knows
+    for (rules::Difference& d : word.named) d.expected.reset();  // whoever reads it knows
   }
   const Duration renewal =
       settings_.renewal + static_cast<Duration::rep>(people_.size() + 1) * settings_.renewal_a_member;
--- a/src/fleet/drift/looking.cpp
+++ b/src/fleet/drift/looking.cpp
@@ -70,7 +70,7 @@
             required_rules(*approved, name, subject == self_ ? settings_.zone : person->second.zone);
         if (const auto found = asked.find(d.key); found != asked.end()) should = found->second;
       }
-      text += " " + d.key + "=\"" + d.is.value_or("nothing") + "\" wanted=\"" + should + "\"";
+      text += " " + d.key + "=\"" + d.actual.value_or("nothing") + "\" wanted=\"" + should + "\"";
     }
   }
   actions.emplace_back(Note{std::move(text)});
--- a/src/fleet/drift/views.cpp
+++ b/src/fleet/drift/views.cpp
@@ -70,7 +70,7 @@
 rules::Severity Seen::worst() const {
   rules::Severity out = rules::Severity::notice;
   if (!word_) return out;
-  for (const rules::Difference& d : word_->named) out = std::max(out, rules::severity_of(d.key, d.is));
+  for (const rules::Difference& d : word_->named) out = std::max(out, rules::severity_of(d.key, d.actual));
   return out;
 }
 
--- a/src/fleet/drift/words.cpp
+++ b/src/fleet/drift/words.cpp
@@ -44,7 +44,7 @@
                           static_cast<std::uint64_t>(word.pending ? 1 : 0)});
   for (std::size_t i = 0; i < word.named.size() && i < kMostNamed; ++i) {
     out += "\n" + word.named[i].key;
-    if (word.named[i].is) out += " " + *word.named[i].is;
+    if (word.named[i].actual) out += " " + *word.named[i].actual;
   }
   return out;
 }
@@ -63,7 +63,7 @@
     if (!rules::is_key(key) || (there && !rules::is_word(one.substr(space + 1)))) return std::nullopt;
     if (out.named.size() >= kMostNamed) return std::nullopt;
     out.named.push_back({std::string(key), std::nullopt, std::nullopt});
-    if (there) out.named.back().is = std::string(one.substr(space + 1));
+    if (there) out.named.back().actual = std::string(one.substr(space + 1));
   }
   return out;
 }
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/reading.cpp
@@ -30,9 +30,9 @@
 }
 
 rules::Tree Reading::read_back() const {
-  rules::Tree out = rules::read_back(core_.active_settings(), node_.class_names);
+  rules::Tree out = rules::rules_of(core_.active_settings(), node_.class_names);
   config::add_terms(turn_.settings(), out);
-  static_cast<void>(out.put("core.attempts", rules::to_canonical(std::uint64_t{core_.most_attempts()})));
+  static_cast<void>(out.put("core.attempts", rules::to_canonical(std::uint64_t{core_.max_attempts()})));
   return out;
 }
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -141,8 +141,8 @@
   void apply(const recovery::Terms& terms) {
     for (const recovery::Terms::Line& line : terms.offices) sightings_.name(line.office);
     TermsApplied::Told told = applied_.take(terms);
-    if (!told.offices.empty()) list_.settled(std::move(told.offices));
-    if (told.module) core_.terms(std::move(*told.module));
+    if (!told.offices.empty()) list_.apply_decision(std::move(told.offices));
+    if (told.module) core_.set_admission_limits(std::move(*told.module));
     shown_.settled = true;
   }
   [[nodiscard]] std::optional<drift::Version> read_file() {
@@ -178,7 +178,7 @@
 
 Service::Service(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node)
     : inside_(std::make_unique<Inside>(core, list, std::move(prepared), node)) {
-  core.watch(*this);
+  core.set_observer(*this);
   list.set_list_arbiter(*this);
 }
 Service::~Service() = default;
@@ -187,13 +187,15 @@
 void Service::stop() { inside_->stop(); }
 bool Service::settled() const { return inside_->settled(); }
 std::string Service::figures() const { return inside_->figures(); }
-void Service::saw(ServerId office, OfficeObserver::OfficeObservation what) { inside_->saw(office, what); }
+void Service::observed(ServerId office, OfficeObserver::OfficeObservation what) {
+  inside_->saw(office, what);
+}
 void Service::listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
   inside_->listed(live, complete, offices);
 }
-void Service::numbered(std::uint64_t number) { inside_->numbered(number); }
-void Service::restarted() { inside_->restarted(); }
-void Service::caught_up() { inside_->caught_up(); }
-void Service::silent() { inside_->silent(); }
+void Service::set_list_number(std::uint64_t number) { inside_->numbered(number); }
+void Service::source_restarted() { inside_->restarted(); }
+void Service::source_caught_up() { inside_->caught_up(); }
+void Service::source_lost() { inside_->silent(); }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -31,12 +31,12 @@
   [[nodiscard]] bool settled() const;  // the first terms have been handed on
   [[nodiscard]] std::string figures() const;  // proxy.fleet_NAME=VALUE lines, in a fixed order
 
-  void saw(ServerId office, core::OfficeObserver::OfficeObservation what) override;
+  void observed(ServerId office, core::OfficeObserver::OfficeObservation what) override;
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) override;
-  void numbered(std::uint64_t number) override;
-  void restarted() override;
-  void caught_up() override;
-  void silent() override;
+  void set_list_number(std::uint64_t number) override;
+  void source_restarted() override;
+  void source_caught_up() override;
+  void source_lost() override;
 
  private:
   class Inside;
--- a/src/limits/patience.cpp
+++ b/src/limits/patience.cpp
@@ -4,39 +4,45 @@
 
 namespace reeltack::limits {
 
-void Patience::came(Time at) {
-  looked_ = at;
-  if (!in_hand_) begun_ = at;
-  in_hand_ = true;
+void PeerDeadlines::received(Time at) {
+  idle_since_ = at;
+  if (!partial_message_) message_since_ = at;
+  partial_message_ = true;
 }
 
-void Patience::whole(Time at) {
+void PeerDeadlines::message_completed(Time at) {
   served_ = true;
-  begun_ = at;
+  message_since_ = at;
 }
 
-void Patience::in_hand(bool some) { in_hand_ = some; }
+void PeerDeadlines::set_partial_message(bool some) { partial_message_ = some; }
 
-void Patience::crowded(bool so, Time at) {
-  if (!so && crowded_) begun_ = std::max(begun_, at);  // what was not taken meanwhile is not its delay
-  if (!so) crowded_.reset();
-  if (so && !crowded_) crowded_ = at;
+void PeerDeadlines::set_output_blocked(bool blocked, Time at) {
+  if (!blocked && output_blocked_since_)
+    message_since_ = std::max(message_since_, at);  // the peer did not delay what we did not read
+  if (!blocked) output_blocked_since_.reset();
+  if (blocked && !output_blocked_since_) output_blocked_since_ = at;
 }
 
-std::optional<PeerTimeout> Patience::overdue(Time at) const {
-  if (crowded_) return at >= *crowded_ + settings_.unread ? std::optional(PeerTimeout::unread) : std::nullopt;
-  if (at >= late_at()) return PeerTimeout::late;
-  if (at >= quiet_at()) return PeerTimeout::quiet;
+std::optional<PeerTimeout> PeerDeadlines::expired(Time at) const {
+  if (output_blocked_since_)
+    return at >= *output_blocked_since_ + settings_.unread_output ? std::optional(PeerTimeout::unread_output)
+                                                                  : std::nullopt;
+  if (at >= message_expiry()) return PeerTimeout::message;
+  if (at >= idle_expiry()) return PeerTimeout::idle;
   return std::nullopt;
 }
 
-Time Patience::next() const {
-  return crowded_ ? *crowded_ + settings_.unread : std::min(late_at(), quiet_at());
+Time PeerDeadlines::next_expiry() const {
+  return output_blocked_since_ ? *output_blocked_since_ + settings_.unread_output
+                               : std::min(message_expiry(), idle_expiry());
 }
 
-Time Patience::late_at() const { return in_hand_ || !served_ ? begun_ + settings_.whole : Time::max(); }
-Time Patience::quiet_at() const {
-  return settings_.quiet == Duration::max() ? Time::max() : looked_ + settings_.quiet;
+Time PeerDeadlines::message_expiry() const {
+  return partial_message_ || !served_ ? message_since_ + settings_.message : Time::max();
+}
+Time PeerDeadlines::idle_expiry() const {
+  return settings_.idle == Duration::max() ? Time::max() : idle_since_ + settings_.idle;
 }
 
 }  // namespace reeltack::limits
--- a/src/limits/patience.h
+++ b/src/limits/patience.h
@@ -1,11 +1,9 @@
-// How long one accepted peer is waited for: its first message, a message that has begun, its reading of our
-// answers, and its silence.
+// Timeouts of one accepted peer: for its first message, for each message it has begun, for reading our
+// answers, and for silence.
 //
-// Owns: the instants that these count from, and which of them is overdue.
-// Must never: do I/O, read a clock, or know what a message means.
-//
-// Threads: none; whoever owns it calls it from one. Times are absolute and told, and may not go back. Equal
-// inputs give equal outputs. Nothing allocates.
+// Performs no I/O and reads no clock; does not interpret messages. Times are absolute, given by the caller,
+// and must not go back. Deterministic; allocates nothing. Not thread-safe: one owner calls it from one
+// thread.
 #pragma once
 
 #include <optional>
@@ -15,41 +13,42 @@
 namespace reeltack::limits {
 
 struct PeerTimeoutSettings {
-  Duration whole =
-      std::chrono::seconds(2);  // from a message's first byte to its last; to the first byte of all
-  Duration unread = std::chrono::seconds(2);  // with so much unread that no more is taken
-  Duration quiet = Duration::max();           // until it is asked whether it is there; max: never
+  // From a message's first byte to its last, and from the connection to its first complete message.
+  Duration message = std::chrono::seconds(2);
+  // With so much unread output that nothing more is read from the peer.
+  Duration unread_output = std::chrono::seconds(2);
+  Duration idle = Duration::max();  // of silence before the peer is probed; max: never
 };
 
-enum class PeerTimeout { late, unread, quiet };
+enum class PeerTimeout { message, unread_output, idle };
 
-class Patience {
+class PeerDeadlines {
  public:
-  Patience(PeerTimeoutSettings settings, Time connected)
-      : settings_(settings), begun_(connected), looked_(connected) {}
-
-  void came(Time at);       // bytes of it, before they are taken off
-  void whole(Time at);      // a message was taken off
-  void in_hand(bool some);  // whether bytes of a further message remain
-  void crowded(bool so, Time at);
-  void asked(Time at) { looked_ = at; }  // it was asked after a silence
-
-  [[nodiscard]] bool served() const { return served_; }  // a whole message came
-  [[nodiscard]] bool begun() const { return in_hand_; }
-  // What has run out by then. While its answers are unread nothing is taken from it, so that it is not late
-  // then.
-  [[nodiscard]] std::optional<PeerTimeout> overdue(Time at) const;
-  [[nodiscard]] Time next() const;  // when something runs out; Time::max(): never
+  PeerDeadlines(PeerTimeoutSettings settings, Time connected)
+      : settings_(settings), message_since_(connected), idle_since_(connected) {}
+
+  void received(Time at);               // bytes arrived; called before messages are extracted from them
+  void message_completed(Time at);      // a message was extracted
+  void set_partial_message(bool some);  // whether bytes of a further message are left
+  void set_output_blocked(bool blocked, Time at);
+  void probed(Time at) { idle_since_ = at; }  // the peer was probed after a silence
+
+  [[nodiscard]] bool served() const { return served_; }  // a complete message has arrived
+  [[nodiscard]] bool has_partial_message() const { return partial_message_; }
+  // The timeout that has expired at `at`. While output is unread nothing is read from the peer, so the
+  // message timeout does not apply then.
+  [[nodiscard]] std::optional<PeerTimeout> expired(Time at) const;
+  [[nodiscard]] Time next_expiry() const;  // when the next timeout expires; Time::max(): never
 
  private:
-  [[nodiscard]] Time late_at() const;
-  [[nodiscard]] Time quiet_at() const;
+  [[nodiscard]] Time message_expiry() const;
+  [[nodiscard]] Time idle_expiry() const;
   PeerTimeoutSettings settings_;
-  Time begun_;   // of the message in hand, or the connection
-  Time looked_;  // since when it is silent
-  std::optional<Time> crowded_;
+  Time message_since_;  // start of the message being received, or of the connection
+  Time idle_since_;     // last activity or probe
+  std::optional<Time> output_blocked_since_;
   bool served_ = false;
-  bool in_hand_ = false;
+  bool partial_message_ = false;
 };
 
 }  // namespace reeltack::limits
--- a/src/limits/shutdown.cpp
+++ b/src/limits/shutdown.cpp
@@ -7,52 +7,53 @@
 
 using namespace std::chrono_literals;
 
-// Callers may still connect for 0.4 s and send for 0.2 s more; where the processor is short, what they send
-// may be read much later.
-constexpr Duration kStillTaking = 1500ms;
-// With short deadlines there is no time to wait for late readers, but all that may come must be taken.
-constexpr Duration kLeastTaking = 650ms;
-// SIGKILL follows the longest deadline, counted as this where it is longer, by 0.7 s: before that, what still
-// waits is refused, for a call that SIGKILL finds unanswered is lost.
-constexpr Duration kLongestCounted = 3s;
-constexpr Duration kBeforeKilled = 350ms;
-// Of the rest of these 0.7 s, what the far ends may take to close in turn: first the offices, whose releases
-// go to callers, then the callers. The end of the program needs some.
-constexpr Duration kOfficesClose = 80ms;
-constexpr Duration kCallersClose = 100ms;
+// Callers may still connect for 0.4 s and send for 0.2 s more; on a machine short of processor time, what
+// they send may be read much later.
+constexpr Duration kAcceptTime = 1500ms;
+// With short deadlines there is no time for requests that are read late, but all that may arrive must be
+// accepted.
+constexpr Duration kMinAcceptTime = 650ms;
+// SIGKILL follows 0.7 s after the longest deadline, which is capped at 3 s. Open calls are refused before
+// that, since a call that is unanswered at SIGKILL is lost.
+constexpr Duration kMaxDeadline = 3s;
+constexpr Duration kRefuseAfterDeadline = 350ms;
+// The parts of the remaining 0.7 s in which first the offices, whose releases go to callers, and then the
+// callers may close their ends. The end of the program needs some of it too.
+constexpr Duration kOfficesCloseTime = 80ms;
+constexpr Duration kCallersCloseTime = 100ms;
 
 }  // namespace
 
 ShutdownTimes shutdown_times(Time asked, Duration longest_deadline) {
-  const Duration counted = std::min(longest_deadline, kLongestCounted);
-  const Time refuse_remaining_at = asked + std::max(counted + kBeforeKilled, kLeastTaking);
-  const Time offices_deadline = asked + counted + kBeforeKilled + kOfficesClose;
-  return {.close_idle = std::min(asked + kStillTaking, refuse_remaining_at),
+  const Duration deadline = std::min(longest_deadline, kMaxDeadline);
+  const Time refuse_remaining_at = asked + std::max(deadline + kRefuseAfterDeadline, kMinAcceptTime);
+  const Time offices_deadline = asked + deadline + kRefuseAfterDeadline + kOfficesCloseTime;
+  return {.close_idle_at = std::min(asked + kAcceptTime, refuse_remaining_at),
           .refuse_remaining_at = refuse_remaining_at,
           .offices_deadline = std::max(refuse_remaining_at, offices_deadline),
-          .offices_close_timeout = kOfficesClose,
-          .connections_deadline = std::max(refuse_remaining_at, offices_deadline + kCallersClose)};
+          .offices_close_timeout = kOfficesCloseTime,
+          .connections_deadline = std::max(refuse_remaining_at, offices_deadline + kCallersCloseTime)};
 }
 
-ShutdownSequence::Steps ShutdownSequence::next(Time at, const Seen& seen) {
+ShutdownSequence::Steps ShutdownSequence::next(Time at, const Progress& progress) {
   Steps out;
-  if (at < times_.close_idle) return out;
-  out.close_callers_but_one = !closing_;
-  closing_ = true;
+  if (at < times_.close_idle_at) return out;
+  out.close_callers_but_one = !callers_closing_;
+  callers_closing_ = true;
   out.refuse_calls = at >= times_.refuse_remaining_at;
-  if (offices_by_ == Time::max()) {
-    if (seen.calls_open && !out.refuse_calls) return out;
+  if (offices_wait_until_ == Time::max()) {
+    if (progress.calls_open && !out.refuse_calls) return out;
     out.finish_offices = true;
-    offices_by_ = std::min(at + times_.offices_close_timeout, times_.offices_deadline);
+    offices_wait_until_ = std::min(at + times_.offices_close_timeout, times_.offices_deadline);
     return out;
   }
-  if (!last_closing_) {
-    if (!seen.offices_finished && at < offices_by_) return out;
+  if (!last_caller_closing_) {
+    if (!progress.offices_finished && at < offices_wait_until_) return out;
     out.close_last_caller = true;
-    last_closing_ = true;
+    last_caller_closing_ = true;
   }
-  out.close_callers_by = out.refuse_calls;
-  out.done = seen.callers_closed && !seen.calls_open;
+  out.close_callers_by_deadline = out.refuse_calls;
+  out.done = progress.callers_closed && !progress.calls_open;
   return out;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -125,7 +125,7 @@
     const Time::rep since = taking_since.load();
     const bool ready = since != 0 && (core.ready() || net::now() >= Time{Duration{since}} + kListAwaited);
     return mgmt::State{ready, [&core, &node, &fleet] {
-                         return core.figures().render(node.class_names, core.in_flight()) +
+                         return core.metrics().render(node.class_names, core.in_flight()) +
                                 (fleet ? fleet->figures() : std::string());
                        }};
   });
@@ -136,7 +136,7 @@
   } ended{core};
   core.start(sides, node.listen ? &sip : nullptr);
   if (fleet) fleet->start();
-  if (!node.known.empty()) list.told(core::Source::platform, true, node.known);
+  if (!node.known.empty()) list.update(core::Source::platform, true, node.known);
   std::optional<dns::Updates> zone;
   if (!fronts.zone_file.empty()) {
     dns::Zone read = dns::Zone::read(config::read_file(fronts.zone_file), fronts.zone_file);
@@ -180,9 +180,9 @@
   if (fleet) fleet->stop();
   core.stop();
   const auto& c = core.counts();
-  net::log_line("ended: " + std::to_string(c.requests) + " requests, " + std::to_string(c.stood) +
+  net::log_line("ended: " + std::to_string(c.requests) + " requests, " + std::to_string(c.established) +
                 " stood, " + std::to_string(c.refused) + " refused, " + std::to_string(c.failed) +
-                " failed, " + std::to_string(c.given_up) + " given up, " + std::to_string(c.attempts) +
+                " failed, " + std::to_string(c.cancelled) + " given up, " + std::to_string(c.attempts) +
                 " attempts");
   const auto& d = sip.connections();
   net::log_line("connections: " + std::to_string(d.accepted) + " let in; ended at a limit: " +
--- a/src/membership/reach.cpp
+++ b/src/membership/reach.cpp
@@ -4,7 +4,7 @@
 
 namespace reeltack::membership {
 
-bool Reachability::told(const ServerEntry& entry) {
+bool Reachability::update(const ServerEntry& entry) {
   const bool restarted = start_ && entry.start > *start_;
   start_ = entry.start;
   if (restarted) dead_ = false;
@@ -14,71 +14,71 @@
   return gone_ || restarted;
 }
 
-bool Reachability::failed(Dialled how, Time at) {
-  // A refused connection after one that stood: the process has died, and its calls with it.
-  const bool died = how == Dialled::refused && was_up_;
-  // Another process may take over the address: no dialling for nothing until this one is told as started.
+bool Reachability::dial_failed(DialResult how, Time at) {
+  // A connection is refused after one that was up: the process has died, and its calls with it.
+  const bool died = how == DialResult::refused && was_connected_;
+  // Another process may take over the address: do not dial without need until a restart is reported.
   dead_ = dead_ || died;
-  // The connection has ended and no new one comes up: the same silence as that of an open one.
-  const bool lost = how == Dialled::failed && was_up_ && calls_stand_ && at >= lost_at();
-  if (died || lost) was_up_ = false;
-  retry_at_ = at + settings_.look;
+  // The connection has ended and no new one comes up: the same silence as on an open connection.
+  const bool lost = how == DialResult::failed && was_connected_ && calls_established_ && at >= loss_at();
+  if (died || lost) was_connected_ = false;
+  retry_at_ = at + settings_.retry_interval;
   return died || lost;
 }
 
-void Reachability::no_room(Time at) {
-  no_room_at_ = at;
-  retry_at_ = at + settings_.look;
+void Reachability::dial_impossible(Time at) {
+  dial_impossible_at_ = at;
+  retry_at_ = at + settings_.retry_interval;
 }
 
 Time Reachability::dial_deadline(Time at, Duration limit) const {
-  const bool awaited = calls_stand_ && was_up_ && at < lost_at();
-  return awaited ? std::min(at + limit, lost_at()) : at + limit;
+  const bool awaited = calls_established_ && was_connected_ && at < loss_at();
+  return awaited ? std::min(at + limit, loss_at()) : at + limit;
 }
 
-void Reachability::up(Time at) {
-  heard_ = at;
-  waits_.reset();
-  was_up_ = true;
+void Reachability::connected(Time at) {
+  received_at_ = at;
+  awaiting_answer_since_.reset();
+  was_connected_ = true;
   dead_ = false;
 }
 
-void Reachability::ended(Time at) { retry_at_ = at + settings_.again; }
+void Reachability::disconnected(Time at) { retry_at_ = at + settings_.reconnect_delay; }
 
-void Reachability::heard(Time at) {
-  heard_ = at;
-  waits_.reset();
+void Reachability::received(Time at) {
+  received_at_ = at;
+  awaiting_answer_since_.reset();
 }
 
-bool Reachability::left(Time at) {
-  if (waits_) return false;
-  waits_ = at;
+bool Reachability::set_up_sent(Time at) {
+  if (awaiting_answer_since_) return false;
+  awaiting_answer_since_ = at;
   return true;
 }
 
-// A quiet connection stays open for ever, whether it alone is cut off or the machine has vanished. A new one
-// that comes up takes the place of the old; without one for long enough the calls are over.
-Reachability::Asked Reachability::asked(Dialled how, Time at) {
-  asked_ = at;
-  if (how == Dialled::up) return Asked::replaced;
-  if (how == Dialled::refused) return Asked::drop;
-  if (at < lost_at()) return Asked::wait;
-  was_up_ = false;
+// A quiet connection stays open forever, whether it alone is cut off or the machine has vanished. A new
+// connection that comes up replaces the old one; without one for long enough the calls have ended.
+Reachability::ProbeResult Reachability::probed(DialResult how, Time at) {
+  probed_at_ = at;
+  if (how == DialResult::connected) return ProbeResult::replaced;
+  if (how == DialResult::refused) return ProbeResult::drop;
+  if (at < loss_at()) return ProbeResult::wait;
+  was_connected_ = false;
   dead_ = true;
-  return Asked::lost;
+  return ProbeResult::lost;
 }
 
-Time Reachability::dial_at(bool open, bool owed) const {
-  if (open) return Time{};  // at once
-  const bool wanted = !gone_ && !dead_ && (ready_ || calls_stand_ || owed);
+Time Reachability::dial_at(bool set_ups_waiting, bool releases_waiting) const {
+  if (set_ups_waiting) return Time{};  // at once
+  const bool wanted = !gone_ && !dead_ && (ready_ || calls_established_ || releases_waiting);
   return wanted ? retry_at_ : Time::max();
 }
 
-Time Reachability::ask_at() const {
+Time Reachability::probe_at() const {
   Time at = Time::max();
-  if (waits_) at = *waits_ + settings_.unheard;
-  if (calls_stand_) at = std::min(at, heard_ + settings_.quiet);
-  return at == Time::max() ? at : std::max(at, asked_ + settings_.look);
+  if (awaiting_answer_since_) at = *awaiting_answer_since_ + settings_.answer_timeout;
+  if (calls_established_) at = std::min(at, received_at_ + settings_.idle_before_probe);
+  return at == Time::max() ? at : std::max(at, probed_at_ + settings_.retry_interval);
 }
 
 }  // namespace reeltack::membership
--- a/src/membership/reach.h
+++ b/src/membership/reach.h
@@ -1,10 +1,9 @@
-// Whether one office can be reached, and what its silence means for the calls that stand there.
+// Whether one office can be reached, and what its silence means for the calls established there.
 //
-// Owns: what the list tells of it, what dialling and its connection have shown, and when to try or ask next.
-// Must never: do I/O, read a clock, hold a call, or choose an office for one.
-//
-// Threads: none; whoever owns it calls it under its own lock. Times are absolute and told. Equal inputs give
-// equal outputs. Nothing allocates.
+// Tracks the office's list entry, the results of dialling and activity on its connection, and derives when to
+// dial or probe it next. Performs no I/O, reads no clock, holds no calls and chooses no office. Times are
+// absolute and given by the caller. Deterministic; allocates nothing. Not thread-safe: its owner calls it
+// under the owner's lock.
 #pragma once
 
 #include <algorithm>
@@ -15,65 +14,71 @@
 namespace reeltack::membership {
 
 struct ReachabilitySettings {
-  Duration quiet = std::chrono::milliseconds(2500);  // without a word while calls stand: it is asked for
-  Duration unheard = std::chrono::seconds(1);        // without a word since a set-up left: the same
-  Duration look =
-      std::chrono::milliseconds(250);  // until it is asked again, or dialled again after a failure
-  Duration again = std::chrono::milliseconds(20);   // after a connection that had come up has ended
-  Duration lost = std::chrono::milliseconds(5500);  // without a word or a new connection: the machine is gone
+  // Silence of a connection while calls are established, after which the office is probed.
+  Duration idle_before_probe = std::chrono::milliseconds(2500);
+  // Silence after a set-up has been sent, after which the office is probed.
+  Duration answer_timeout = std::chrono::seconds(1);
+  // Until the office is probed again, or dialled again after a failure.
+  Duration retry_interval = std::chrono::milliseconds(250);
+  // Until the office is dialled after an established connection has ended.
+  Duration reconnect_delay = std::chrono::milliseconds(20);
+  // Without a message or a new connection for this long, the office's machine counts as gone.
+  Duration loss_timeout = std::chrono::milliseconds(5500);
 };
 
 class Reachability {
  public:
-  enum class Dialled { up, refused, failed };
+  enum class DialResult { connected, refused, failed };
   explicit Reachability(ReachabilitySettings settings = {}) : settings_(settings) {}
 
-  // The list. True: the process that an open connection leads to is told as gone or as another.
-  bool told(const ServerEntry& entry);
-  void keep(bool calls_established) { calls_stand_ = calls_established; }
+  // Applies the office's list entry. True: the process at the far end of an open connection has gone or
+  // restarted.
+  bool update(const ServerEntry& entry);
+  void set_calls_established(bool established) { calls_established_ = established; }
 
-  // What was dialled without a connection: true where calls that stand there are over, for the process has
-  // died, or nothing was heard and nothing came up for too long.
-  bool failed(Dialled how, Time at);
-  // This host had no room to dial it: nothing is known of the office, and its silence is no evidence either
-  // until it could be dialled for as long as usual.
-  void no_room(Time at);
-  void up(Time at);
-  void ended(Time at);  // the connection
-  void heard(Time at);  // a word on it
-  bool left(Time at);   // a set-up; true: from now on an answer is waited for
-  // What came of asking, by a second connection beside a quiet one.
-  enum class Asked { wait, replaced, drop, lost };
-  Asked asked(Dialled how, Time at);
+  // Dialling has failed. True: the calls established there have ended, since the process has died, or since
+  // no message has arrived and no connection has come up for too long.
+  bool dial_failed(DialResult how, Time at);
+  // This host lacked the resources to dial (such as descriptors). That tells nothing about the office, and
+  // its silence is no evidence either until it could be dialled for as long as usual.
+  void dial_impossible(Time at);
+  void connected(Time at);
+  void disconnected(Time at);
+  void received(Time at);     // any message on the connection
+  bool set_up_sent(Time at);  // true: from now on an answer is awaited
+  // The result of a probe, which dials a second connection beside a quiet one, and what to do then.
+  enum class ProbeResult { wait, replaced, drop, lost };
+  ProbeResult probed(DialResult how, Time at);
 
   [[nodiscard]] bool ready() const { return ready_; }
   [[nodiscard]] bool gone() const { return gone_; }
-  // When a connection is to be dialled; Time::max(): not at all. `open`: set-ups wait for it. `owed`:
-  // releases do.
-  [[nodiscard]] Time dial_at(bool open, bool owed) const;
-  // By when a connection that is dialled at `at` must be up; sooner than `limit` where calls that stand would
-  // count as lost meanwhile.
+  // When to dial; Time::max(): not at all. The arguments tell whether set-ups or releases wait for a
+  // connection.
+  [[nodiscard]] Time dial_at(bool set_ups_waiting, bool releases_waiting) const;
+  // By when a connection dialled at `at` must be up; sooner than `limit` if established calls would count as
+  // lost meanwhile.
   [[nodiscard]] Time dial_deadline(Time at, Duration limit) const;
-  [[nodiscard]] bool calls_established() const { return calls_stand_; }
-  [[nodiscard]] Time ask_at() const;  // of an open connection; Time::max(): it may stay quiet
+  [[nodiscard]] bool calls_established() const { return calls_established_; }
+  [[nodiscard]] Time probe_at() const;  // when to probe an open connection; Time::max(): not at all
 
  private:
-  // From when silence without a new connection counts as a loss.
-  [[nodiscard]] Time lost_at() const {
-    return std::max(heard_ + settings_.lost, no_room_at_ + (settings_.lost - settings_.quiet));
+  // When silence without a new connection begins to count as a loss.
+  [[nodiscard]] Time loss_at() const {
+    return std::max(received_at_ + settings_.loss_timeout,
+                    dial_impossible_at_ + (settings_.loss_timeout - settings_.idle_before_probe));
   }
   ReachabilitySettings settings_;
   std::optional<StartId> start_;
   Time retry_at_{};
-  Time heard_{};
-  Time asked_{};
-  Time no_room_at_{};          // the last time that this host had no room for a connection
-  std::optional<Time> waits_;  // since when a set-up that left has heard nothing
+  Time received_at_{};
+  Time probed_at_{};
+  Time dial_impossible_at_{};                  // when this host last lacked the resources to dial
+  std::optional<Time> awaiting_answer_since_;  // since when a set-up that was sent has had no message
   bool ready_ = false;
-  bool gone_ = false;  // for good
-  bool calls_stand_ = false;
-  bool was_up_ = false;
-  bool dead_ = false;  // it died, and nothing has told of a new start
+  bool gone_ = false;  // permanently
+  bool calls_established_ = false;
+  bool was_connected_ = false;
+  bool dead_ = false;  // the process has died and no restart has been reported
 };
 
 }  // namespace reeltack::membership
--- a/src/membership/releases.cpp
+++ b/src/membership/releases.cpp
@@ -4,32 +4,32 @@
 
 namespace reeltack::membership {
 
-void Releases::sent(CallId call, std::string text, Time at) {
-  if (sent_.size() >= settings_.most) sent_.pop_front();
-  sent_.push_back({call, std::move(text), at});
+void PendingReleases::add(CallId call, std::string text, Time at) {
+  if (pending_.size() >= settings_.max_size) pending_.pop_front();
+  pending_.push_back({call, std::move(text), at});
 }
 
-bool Releases::heard(CallId call) {
-  return std::erase_if(sent_, [call](const One& one) { return one.call == call; }) > 0;
+bool PendingReleases::acknowledge(CallId call) {
+  return std::erase_if(pending_, [call](const Entry& entry) { return entry.call == call; }) > 0;
 }
 
-void Releases::spoke(Time at) {
-  while (!sent_.empty() && at - sent_.front().at >= settings_.crossing) sent_.pop_front();
+void PendingReleases::peer_active(Time at) {
+  while (!pending_.empty() && at - pending_.front().at >= settings_.in_transit) pending_.pop_front();
 }
 
-std::vector<std::pair<CallId, std::string>> Releases::ended(Time at) {
+std::vector<std::pair<CallId, std::string>> PendingReleases::take_after_disconnect(Time at) {
   std::vector<std::pair<CallId, std::string>> out;
-  for (One& one : sent_) {
-    if (at - one.at < settings_.settled) out.emplace_back(one.call, std::move(one.text));
+  for (Entry& entry : pending_) {
+    if (at - entry.at < settings_.assume_read_after) out.emplace_back(entry.call, std::move(entry.text));
   }
-  sent_.clear();
+  pending_.clear();
   return out;
 }
 
-std::vector<std::pair<CallId, std::string>> Releases::unread() {
+std::vector<std::pair<CallId, std::string>> PendingReleases::take_all() {
   std::vector<std::pair<CallId, std::string>> out;
-  for (One& one : sent_) out.emplace_back(one.call, std::move(one.text));
-  sent_.clear();
+  for (Entry& entry : pending_) out.emplace_back(entry.call, std::move(entry.text));
+  pending_.clear();
   return out;
 }
 
--- a/src/membership/releases.h
+++ b/src/membership/releases.h
@@ -1,14 +1,13 @@
-// Releases that were sent on a connection and may not have been read: what goes again once it has ended.
+// The releases sent on one connection that the far end may not have read; they are sent again once it has
+// ended.
 //
-// Owns: per connection, which releases were sent, and since when; when one counts as read.
-// Must never: do I/O, read a clock, hold a call, or choose the connection on which one goes again.
+// A release is sent once and need not be answered, and TCP does not tell what the far end has read: a release
+// that crosses the end of its connection, or is sent on a connection that has been cut off, is lost silently.
+// Sending it twice does no harm: an office that has read it no longer knows the call.
 //
-// A release is told once and has no answer that must come, and TCP tells nobody what the far end has read:
-// one that crosses the end of its connection, or went on one that had been cut off, is lost without a word.
-// Said twice it does no harm: whoever has read it knows no such call any more.
-//
-// Threads: none; whoever owns it calls it under its own lock. Times are absolute and told. Equal inputs give
-// equal outputs. Bounded: of more than `most`, the oldest is forgotten.
+// Performs no I/O and reads no clock; holds no calls and does not choose the connection on which a release is
+// sent again. Times are absolute and given by the caller. Deterministic. Bounded: beyond `max_size` the
+// oldest entry is discarded. Not thread-safe: its owner calls it under the owner's lock.
 #pragma once
 
 #include <deque>
@@ -20,36 +19,38 @@
 namespace reeltack::membership {
 
 struct PendingReleasesSettings {
-  // What was sent so long before a word of the far end was there before that word was said.
-  Duration crossing = std::chrono::seconds(1);
-  // Without any word: so old it counts as read. Max: never, for a far end that may be cut off.
-  Duration settled = Duration::max();
-  std::size_t most = 1024;
+  // A release sent this long before a message of the far end arrived has been read before that message was
+  // sent.
+  Duration in_transit = std::chrono::seconds(1);
+  // The age at which a release counts as read without any message of the far end; max: never, for a far end
+  // that may be cut off.
+  Duration assume_read_after = Duration::max();
+  std::size_t max_size = 1024;
 };
 
-class Releases {
+class PendingReleases {
  public:
-  explicit Releases(PendingReleasesSettings settings = {}) : settings_(settings) {}
-
-  void sent(CallId call, std::string text, Time at);
-  // The far end has said that it heard this one, or it must not go again. False: none was pending.
-  bool heard(CallId call);
-  void spoke(Time at);  // the far end has said anything
-  // The connection has ended: those to be sent again, in their order. It begins anew.
-  [[nodiscard]] std::vector<std::pair<CallId, std::string>> ended(Time at);
-  // The same where the far end did not read: however old, all go again.
-  [[nodiscard]] std::vector<std::pair<CallId, std::string>> unread();
-  void forget() { sent_.clear(); }  // whoever was told is gone, and its calls with it
-  [[nodiscard]] std::size_t size() const { return sent_.size(); }
+  explicit PendingReleases(PendingReleasesSettings settings = {}) : settings_(settings) {}
+
+  void add(CallId call, std::string text, Time at);
+  // The far end has confirmed this release, or it must not be sent again. False: none was pending.
+  bool acknowledge(CallId call);
+  void peer_active(Time at);  // any message of the far end has arrived
+  // The connection has ended: removes all entries and returns those to send again, in order.
+  [[nodiscard]] std::vector<std::pair<CallId, std::string>> take_after_disconnect(Time at);
+  // The same where the far end has not read: returns all, whatever their age.
+  [[nodiscard]] std::vector<std::pair<CallId, std::string>> take_all();
+  void clear() { pending_.clear(); }  // the far end has gone, and its calls with it
+  [[nodiscard]] std::size_t size() const { return pending_.size(); }
 
  private:
-  struct One {
+  struct Entry {
     CallId call{};
     std::string text;
     Time at{};
   };
   PendingReleasesSettings settings_;
-  std::deque<One> sent_;  // by time
+  std::deque<Entry> pending_;  // ordered by time
 };
 
 }  // namespace reeltack::membership
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -6,22 +6,22 @@
 
 namespace reeltack::membership {
 
-std::vector<ServerId> Roster::told(bool complete, std::span<const ServerEntry> entries) {
-  std::set<ServerId> over;
+std::vector<ServerId> Roster::update(bool complete, std::span<const ServerEntry> entries) {
+  std::set<ServerId> ended;
   if (complete) {
-    std::set<ServerId> kept;
-    for (const ServerEntry& e : entries) kept.insert(e.server);
+    std::set<ServerId> listed;
+    for (const ServerEntry& e : entries) listed.insert(e.server);
     for (const auto& [id, member] : members_) {
-      if (!kept.contains(id)) over.insert(id);
+      if (!listed.contains(id)) ended.insert(id);
     }
-    std::erase_if(members_, [&kept](const auto& m) { return !kept.contains(m.first); });
+    std::erase_if(members_, [&listed](const auto& m) { return !listed.contains(m.first); });
   }
-  // In the order told: an office may go and come back under its id within one list.
+  // In the order reported: within one list an office may go and come back under the same id.
   for (const ServerEntry& e : entries) {
     const auto known = members_.find(e.server);
     if (e.state == ServerState::gone) {
       if (known != members_.end()) {
-        over.insert(e.server);
+        ended.insert(e.server);
         members_.erase(known);
       }
       continue;
@@ -32,15 +32,15 @@
     }
     Member& member = known->second;
     const bool restarted = e.start > member.entry.start;
-    if (restarted) over.insert(e.server);
+    if (restarted) ended.insert(e.server);
     member.entry = e;
-    // What could not be reached was the process before.
+    // It was the previous process that could not be reached.
     if (restarted) member.unreachable = false;
   }
-  return {over.begin(), over.end()};
+  return {ended.begin(), ended.end()};
 }
 
-bool Roster::reached(ServerId office, bool up) {
+bool Roster::set_reachable(ServerId office, bool up) {
   const auto found = members_.find(office);
   if (found == members_.end() || found->second.unreachable != up) return false;
   found->second.unreachable = !up;
@@ -52,18 +52,19 @@
   return found != members_.end() && found->second.entry.state == ServerState::ready;
 }
 
-std::size_t Roster::avoided() const {
+std::size_t Roster::unavailable() const {
   return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [](const auto& m) {
     return m.second.unreachable || m.second.entry.state != ServerState::ready;
   }));
 }
 
-void Roster::check() const {
+void Roster::check_invariants() const {
   for (const auto& [id, member] : members_) {
-    if (member.entry.server != id) throw std::logic_error("an entry stands under another office's id");
-    if (member.entry.state == ServerState::gone) throw std::logic_error("an office that has gone is held");
+    if (member.entry.server != id) throw std::logic_error("an entry is stored under another office's id");
+    if (member.entry.state == ServerState::gone)
+      throw std::logic_error("an office that has gone is still listed");
   }
-  if (avoided() > size()) throw std::logic_error("more offices are avoided than listed");
+  if (unavailable() > size()) throw std::logic_error("more offices are unavailable than listed");
 }
 
 }  // namespace reeltack::membership
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Peer::Peer(Fd fd, Duration quiet)
-    : fd_(std::move(fd)), patience_(limits::PeerTimeoutSettings{.quiet = quiet}, connected_) {}
+    : fd_(std::move(fd)), patience_(limits::PeerTimeoutSettings{.idle = quiet}, connected_) {}
 
 void Peer::begin(Loop& loop, std::function<void(Peer&)> over) {
   loop_ = &loop;
@@ -52,9 +52,9 @@
   if (got == Got::late) return;
   const Time at = now();
   heard_ = at.time_since_epoch().count();
-  patience_.came(at);
+  patience_.received(at);
   const Next next = received();
-  patience_.in_hand(!buffer_.view().empty());
+  patience_.set_partial_message(!buffer_.view().empty());
   if (next == Next::end) end_reading(End::own);
 }
 
@@ -69,28 +69,28 @@
 // Nothing more is taken from a peer that leaves its answers unread: they would pile up.
 void Peer::keep_to_limits() {
   const Time at = now();
-  patience_.crowded(outbox_.crowded(), at);
+  patience_.set_output_blocked(outbox_.crowded(), at);
   if (closing_ == Closing::whatever_comes) return stop_reading();
   if (may_close()) {
     orderly_ = drains_ = takes_after_close();
     return abandon_open(End::own);
   }
-  auto overdue = patience_.overdue(at);
+  auto overdue = patience_.expired(at);
   // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
-  while (overdue && overdue != limits::PeerTimeout::unread && !outbox_.crowded() && fd_.unread()) {
+  while (overdue && overdue != limits::PeerTimeout::unread_output && !outbox_.crowded() && fd_.unread()) {
     read();
     if (stage_ != Stage::reading) return;
-    overdue = patience_.overdue(at);
+    overdue = patience_.expired(at);
   }
   if (!overdue) return;
   switch (*overdue) {
-    case limits::PeerTimeout::unread:
+    case limits::PeerTimeout::unread_output:
       return abandon_open(End::unread);
-    case limits::PeerTimeout::late:
+    case limits::PeerTimeout::message:
       late();
       return end_reading(End::late);
-    case limits::PeerTimeout::quiet:
-      patience_.asked(at);
+    case limits::PeerTimeout::idle:
+      patience_.probed(at);
       if (quiet() == Next::end) end_reading(End::own);
   }
 }
@@ -103,7 +103,7 @@
 
 bool Peer::may_close() const {
   const Closing how = closing_;
-  if (how == Closing::no || (patience_.begun() && how != Closing::now)) return false;
+  if (how == Closing::no || (patience_.has_partial_message() && how != Closing::now)) return false;
   const std::lock_guard hold(lock_);
   return open_.empty() && !fd_.unread();
 }
@@ -114,7 +114,7 @@
                      (stage_ == Stage::answering && !left_told_) || stage_ == Stage::draining;
   loop_->watch(id_, fd_, reads, outbox_.blocked());
   Time at = outbox_.due();
-  if (stage_ == Stage::reading) at = std::min(at, patience_.next());
+  if (stage_ == Stage::reading) at = std::min(at, patience_.next_expiry());
   if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kLookForClose);
   if (stage_ == Stage::draining) at = std::min(at, drained_by_);
   if (stage_ == Stage::writing || stage_ == Stage::draining) at = std::min(at, over_by());
@@ -164,8 +164,8 @@
 // Kept is all that has a set-up open, has said what is not yet read or taken, or has not been written its
 // answer: where the processor is short, the loop may come to these late.
 Peer::Spare Peer::spare_now() const {
-  if (over_ || retiring_ || answering_ || closing_ != Closing::no || patience_.begun() || !open_.empty() ||
-      outbox_.behind() || fd_.unread())
+  if (over_ || retiring_ || answering_ || closing_ != Closing::no || patience_.has_partial_message() ||
+      !open_.empty() || outbox_.behind() || fd_.unread())
     return Spare::kept;
   if (!patience_.served()) return heard() + kShy < now() ? Spare::silent : Spare::kept;
   return standing_.empty() ? Spare::idle : Spare::standing;
@@ -185,7 +185,7 @@
   closing_ = Closing::whatever_comes;
   loop_->wake(id_);
 }
-void Peer::whole() { patience_.whole(now()); }
+void Peer::whole() { patience_.message_completed(now()); }
 Peer::Next Peer::hang_up() {
   drains_ = true;
   return Next::end;
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -128,7 +128,7 @@
   Stage stage_ = Stage::reading;
   End why_ = End::peer;
   const Time connected_ = now();
-  limits::Patience patience_;
+  limits::PeerDeadlines patience_;
   Time drained_by_ = kNever;
   std::size_t drained_ = 0;
   bool drains_ = false;
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -75,7 +75,7 @@
 }
 
 void Bulletin::run() {
-  list_.numbered(last_);  // what the configuration held
+  list_.set_list_number(last_);  // what the configuration held
   for (;;) {
     net::Address to;
     {
@@ -93,13 +93,13 @@
       current_ = std::move(fresh);
     }
     const Ended how = current_ ? follow() : Ended::closed;
-    list_.live(false);
+    list_.set_followed(false);
     pacing_.failed();
     std::unique_lock hold(lock_);
     // It may be slow and not dead: the oldest one is kept until it speaks, or has had its time.
     if (how == Ended::silent && !slow_) {
       slow_ = current_;
-      slow_until_ = net::now() + pacing_.settings().slow;
+      slow_until_ = net::now() + pacing_.settings().overlap;
     }
     current_.reset();
     changed_.wait_for(hold, pacing_.pause(uniform_(random_)), [this] { return stopping_ || moved_; });
@@ -162,7 +162,7 @@
       if (frame) {
         current_->buffer.take(used);
         silent = net::now() + pacing_.settings().silence;
-        pacing_.heard();
+        pacing_.frame_received();
         slow_.reset();
         if (!take(*frame)) return Ended::closed;
         continue;
@@ -186,24 +186,24 @@
 bool Bulletin::take(Frame& frame) {
   // Its numbers went back: it has begun anew, and is asked from its first event on. Where members share their
   // lists alone; the platform's own bulletin counts on for as long as a controller runs.
-  if (frame.kind == 0 && frame.number > 0 && frame.number < last_ && list_.governed()) {
+  if (frame.kind == 0 && frame.number > 0 && frame.number < last_ && list_.has_arbiter()) {
     net::log_line("bulletin: it has begun anew, from " + std::to_string(last_) + " to " +
                   std::to_string(frame.number));
     last_ = 0;
-    list_.restarted();
+    list_.source_restarted();
     return false;
   }
-  if (frame.kind == 0) list_.caught_up();
-  if (frame.number <= last_) list_.live(true);  // nothing is newer
+  if (frame.kind == 0) list_.source_caught_up();
+  if (frame.number <= last_) list_.set_followed(true);  // nothing is newer
   // On this connection nothing is untold any more, and what comes from now on is told as it happens.
   current_->caught_up = current_->caught_up || (frame.kind == 0 && frame.number <= last_);
-  if (current_->caught_up) list_.followed();
+  if (current_->caught_up) list_.confirm_current();
   // An event told twice must not undo what has come since.
   if (frame.kind == 0 || frame.number <= last_) return true;
   last_ = frame.number;
-  list_.numbered(last_);
-  list_.told(core::Source::platform, frame.kind == 1, std::move(frame.offices));
-  list_.live(true);
+  list_.set_list_number(last_);
+  list_.update(core::Source::platform, frame.kind == 1, std::move(frame.offices));
+  list_.set_followed(true);
   return true;
 }
 
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -18,7 +18,7 @@
   const std::lock_guard hold(lock_);
   const auto address = net::parse_address(office.address);
   // Guards against speaking to a dead process, or to one that has taken over the address.
-  const bool another = reach_.told(office.entry);
+  const bool another = reach_.update(office.entry);
   if (another) owed_.clear();  // with the process went its calls
   if (another || (address && net::to_text(*address) != net::to_text(address_))) outdated_ = true;
   if (outdated_ && line_) line_->fd.shut();
@@ -94,7 +94,7 @@
 
 void OfficeLink::keep(bool calls_established) {
   const std::lock_guard hold(lock_);
-  reach_.keep(calls_established);
+  reach_.set_calls_established(calls_established);
   look_in_time();
 }
 
@@ -135,7 +135,7 @@
 
 void OfficeLink::queue(const std::shared_ptr<Line>& line, CallId call, Open& open) {
   // What it says is kept: where the connection breaks before it has left, it goes on the next one.
-  const std::int64_t left_ms = whole_ms_left(open.set_up.give_up, net::now());
+  const std::int64_t left_ms = whole_ms_left(open.set_up.expires_at, net::now());
   const bool queued =
       line->outbox.push(start_line(open.set_up, open.class_name, left_ms), open.tag,
                         [this, call, attempt = open.set_up.attempt, on = line.get(),
@@ -154,15 +154,15 @@
     if (on != line_.get() || found == open_.end() || found->second.set_up.attempt != attempt) return false;
     const Time at = net::now();
     const Open& open = found->second;
-    const std::int64_t left_ms = whole_ms_left(open.set_up.give_up, at);
+    const std::int64_t left_ms = whole_ms_left(open.set_up.expires_at, at);
     if (reach_.ready() && left_ms > 0) {
       // It ends, by us or by the office: what has not begun to leave goes on the next connection.
       if (outdated_ || on->fd.far_end_closed()) return false;
       if (left_ms < told_ms) text = start_line(open.set_up, open.class_name, left_ms);
-      if (reach_.left(at)) look_in_time();
+      if (reach_.set_up_sent(at)) look_in_time();
       core_.attempt_transmitted();
       // An end of an attempt before this one must not go again once this one is there.
-      if (attempt > 0) found->second.follows_give_up = releases_.heard(call);
+      if (attempt > 0) found->second.follows_give_up = releases_.acknowledge(call);
       return found->second.left = true;
     }
     open_.erase(found);
@@ -176,8 +176,8 @@
   if (got == net::Got::closed) return false;
   if (got == net::Got::late) return true;
   const Time at = net::now();
-  reach_.heard(at);
-  releases_.spoke(at);
+  reach_.received(at);
+  releases_.peer_active(at);
   // It may be up, and bring what the office owes.
   if (asking_ && !collecting_) leave(std::make_shared<Line>(std::move(asking_)), {}, Leaves::beside);
   for (;;) {
@@ -232,7 +232,7 @@
 void OfficeLink::take(std::string_view text) {
   OfficeLine line = read_line(text);
   using Verb = OfficeLine::Verb;
-  if (line.verb == Verb::load) return core_.reported(id_, line.report);
+  if (line.verb == Verb::load) return core_.load_reported(id_, line.report);
   if (line.verb == Verb::nothing) return;
   if (const auto found = open_.find(line.call); found != open_.end()) {
     if (!found->second.left) return;  // of an attempt before, whose end is written or owed
@@ -241,9 +241,9 @@
     open_.erase(found);
   }
   if (line.verb == Verb::finish)
-    return core_.ended({id_, line.call, line.cause, std::move(line.note), line.report});
-  if (line.report.free_lines >= 0.0) core_.reported(id_, line.report);
-  core_.answered(id_, line.call, std::move(line.blob));
+    return core_.office_released({id_, line.call, line.cause, std::move(line.note), line.report});
+  if (line.report.free_lines >= 0.0) core_.load_reported(id_, line.report);
+  core_.office_answered(id_, line.call, std::move(line.blob));
 }
 
 }  // namespace reeltack::platform
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -76,7 +76,7 @@
     return std::max(reach_.dial_at(!open_.empty(), !owed_.empty()), room_at_);
   }
   // When a connection that has gone quiet is asked for by a second one.
-  [[nodiscard]] Time ask_at() const { return std::max(reach_.ask_at(), room_at_); }
+  [[nodiscard]] Time ask_at() const { return std::max(reach_.probe_at(), room_at_); }
   // When a second connection is dialled beside the open one, for that or for releases that may be lost.
   [[nodiscard]] Time second_dial_at() const {
     return finishing_ ? net::kNever : std::min(ask_at(), std::max(collect_at(), room_at_));
@@ -128,7 +128,7 @@
   std::map<CallId, Open> open_;
   std::vector<std::pair<CallId, std::string>> owed_;  // releases for the next connection
   std::shared_ptr<Line> line_;
-  membership::Releases releases_;  // that went on the line
+  membership::PendingReleases releases_;  // that went on the line
   std::vector<Leaving> leaving_;
   net::Buffer buffer_;  // of the line
   net::Fd dialling_;
--- a/src/platform/link_dial.cpp
+++ b/src/platform/link_dial.cpp
@@ -9,9 +9,11 @@
 // How soon a dial is tried again for which this host had no port, route, descriptor or memory.
 constexpr Duration kRoomAwaited = std::chrono::milliseconds(10);
 
-membership::Reachability::Dialled dialled_as(net::Dial how) {
-  using Dialled = membership::Reachability::Dialled;
-  return how == net::Dial::up ? Dialled::up : how == net::Dial::refused ? Dialled::refused : Dialled::failed;
+membership::Reachability::DialResult dialled_as(net::Dial how) {
+  using DialResult = membership::Reachability::DialResult;
+  return how == net::Dial::up        ? DialResult::connected
+         : how == net::Dial::refused ? DialResult::refused
+                                     : DialResult::failed;
 }
 
 }  // namespace
@@ -32,7 +34,7 @@
 void OfficeLink::no_room() {
   const Time at = net::now();
   room_at_ = at + kRoomAwaited;
-  reach_.no_room(at);
+  reach_.dial_impossible(at);
   if (open_.empty()) {
     room_by_ = net::kNever;
     return;
@@ -63,8 +65,8 @@
 void OfficeLink::failed(net::Dial how) {
   std::map<CallId, Open> lost;
   lost.swap(open_);
-  if (!reach_.gone()) core_.reached(id_, false);
-  if (reach_.failed(dialled_as(how), net::now())) {
+  if (!reach_.gone()) core_.reachability_changed(id_, false);
+  if (reach_.dial_failed(dialled_as(how), net::now())) {
     const char* sign = how == net::Dial::refused ? " refuses connections" : " is silent and out of reach";
     net::log_line("office " + net::office_name(id_) + sign + ": its calls are cut");
     core_.office_lost(id_);
@@ -78,8 +80,8 @@
   buffer_ = {};
   collect_once_at_ = net::kNever;  // this one does
   room_by_ = net::kNever;
-  reach_.up(net::now());
-  core_.reached(id_, true);
+  reach_.connected(net::now());
+  core_.reachability_changed(id_, true);
   for (auto& [call, text] : std::exchange(owed_, {})) tell_over(call, std::move(text));
   for (auto& [call, open] : open_) queue(line_, call, open);
 }
@@ -97,12 +99,12 @@
   if (outdated_) {
     if (asking_) loop_.unwatch(asking_);
     asking_.reset();
-    releases_.forget();
+    releases_.clear();
   }
   // The second one may be up already, with what the office owes on it: it takes the first one's place.
   if (asking_) dialling_ = std::move(asking_);
   collecting_ = false;
-  for (auto& release : releases_.ended(net::now())) owed_.push_back(std::move(release));
+  for (auto& release : releases_.take_after_disconnect(net::now())) owed_.push_back(std::move(release));
   // What has not left never ran, and goes on the next connection while its time lasts.
   for (auto at = open_.begin(); at != open_.end();) {
     const auto next = std::next(at);
@@ -115,7 +117,7 @@
     }
     at = next;
   }
-  reach_.ended(net::now());
+  reach_.disconnected(net::now());
 }
 
 // A second connection beside one that has gone quiet: reach_ says when, and what its outcome means.
@@ -130,7 +132,7 @@
     asking_ = net::dial_begin(address_, how);
     if (how == net::Dial::shortage) {  // no evidence of its silence
       room_at_ = at + kRoomAwaited;
-      reach_.no_room(at);
+      reach_.dial_impossible(at);
       return;
     }
     dialled_ = address_;
@@ -145,14 +147,14 @@
 void OfficeLink::asked(net::Dial how, Time at) {
   net::Fd fresh = std::move(asking_);
   loop_.unwatch(fresh);
-  const auto outcome = reach_.asked(dialled_as(how), at);
-  if (outcome == membership::Reachability::Asked::wait) return;
-  const bool replaced = outcome == membership::Reachability::Asked::replaced;
+  const auto outcome = reach_.probed(dialled_as(how), at);
+  if (outcome == membership::Reachability::ProbeResult::wait) return;
+  const bool replaced = outcome == membership::Reachability::ProbeResult::replaced;
   drop(replaced ? Rest::unread : Rest::read);
   if (replaced) return up(std::move(fresh));
-  if (outcome == membership::Reachability::Asked::drop) return;
+  if (outcome == membership::Reachability::ProbeResult::drop) return;
   net::log_line("office " + net::office_name(id_) + " is silent and out of reach: its calls are cut");
-  core_.reached(id_, false);
+  core_.reachability_changed(id_, false);
   core_.office_lost(id_);
 }
 
--- a/src/platform/link_finish.cpp
+++ b/src/platform/link_finish.cpp
@@ -36,11 +36,11 @@
   if (asking_) leave(std::make_shared<Line>(std::move(asking_)), {}, Leaves::beside);
   if (dialling_ && owed_.empty()) leave(std::make_shared<Line>(std::move(dialling_)), {}, Leaves::beside);
   if (!may_leave_line()) return;
-  releases_.forget();  // they have left, and the office reads up to our end
+  releases_.clear();  // they have left, and the office reads up to our end
   leave(std::move(line_), std::move(buffer_), Leaves::used);
   line_.reset();
   buffer_ = {};
-  reach_.ended(net::now());
+  reach_.disconnected(net::now());
 }
 
 }  // namespace reeltack::platform
--- a/src/platform/link_leaving.cpp
+++ b/src/platform/link_leaving.cpp
@@ -101,11 +101,11 @@
 void OfficeLink::take_late(std::string_view text) {
   OfficeLine line = read_line(text);
   using Verb = OfficeLine::Verb;
-  if (line.verb == Verb::load) return core_.reported(id_, line.report);
+  if (line.verb == Verb::load) return core_.load_reported(id_, line.report);
   if (line.verb == Verb::nothing || open_.contains(line.call)) return;
   if (line.verb == Verb::finish)
-    return core_.ended({id_, line.call, line.cause, std::move(line.note), line.report});
-  core_.answered(id_, line.call, std::move(line.blob));
+    return core_.office_released({id_, line.call, line.cause, std::move(line.note), line.report});
+  core_.office_answered(id_, line.call, std::move(line.blob));
 }
 
 // On the line, or owed to the next; its text is kept until the office must have read it.
@@ -114,7 +114,7 @@
     owed_.emplace_back(call, std::move(text));
     return false;
   }
-  releases_.sent(call, std::move(text), net::now());
+  releases_.add(call, std::move(text), net::now());
   return true;
 }
 
--- a/src/platform/offices.cpp
+++ b/src/platform/offices.cpp
@@ -48,13 +48,13 @@
   const std::string name = set_up.call_class < class_names_.size() ? class_names_[set_up.call_class] : "";
   if (!to->start(set_up, name)) core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
 }
-void Offices::give_up(ServerId office, CallId call, std::uint32_t attempt) {
+void Offices::cancel(ServerId office, CallId call, std::uint32_t attempt) {
   if (const auto to = link(office)) to->give_up(call, attempt);
 }
 void Offices::release(ServerId office, CallId call) {
   if (const auto to = link(office)) to->release(call);
 }
-void Offices::keep(ServerId office, bool calls_established) {
+void Offices::keep_connection(ServerId office, bool calls_established) {
   if (const auto to = link(office)) to->keep(calls_established);
 }
 
--- a/src/platform/offices.h
+++ b/src/platform/offices.h
@@ -21,9 +21,9 @@
 
   void listed(bool complete, const std::vector<core::OfficeEntry>& offices) override;
   void start(const core::SetUp& set_up) override;
-  void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
+  void cancel(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId office, bool calls_established) override;
+  void keep_connection(ServerId office, bool calls_established) override;
 
   // The program ends (OfficeLink::finish): set-ups are returned unsent from now on.
   void finish();
--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -61,7 +61,7 @@
   if (message.method == "INVITE") return take_invite(from, message, CallId{*call}), true;
   if (message.method == "CANCEL") {
     from->push(sip_answer(200, "OK", message.echoed()));
-    core_.give_up(CallId{*call}, *this);
+    core_.cancel(CallId{*call}, *this);
     return true;
   }
   if (message.method == "BYE") {
@@ -76,7 +76,7 @@
 void SipFront::take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
                            CallId call) {
   core::Request request;
-  CallArrived& told = request.told;
+  CallArrived& told = request.arrival;
   told.call = call;
   const std::size_t at = message.uri.find('@');
   const auto number = message.uri.rfind("sip:", 0) == 0 && at != std::string::npos
@@ -107,7 +107,7 @@
     return;
   }
   request.description = message.body;
-  request.side = this;
+  request.frontend = this;
   if (open_dialogue(from, message, call)) core_.request(std::move(request));
 }
 
@@ -152,16 +152,16 @@
       return;
     }
   }
-  core_.give_up(call, *this);
+  core_.cancel(call, *this);
 }
 
-bool SipFront::waits(CallId call) {
+bool SipFront::still_waiting(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   return found != dialogues_.end() && last_reachable(found->second) != nullptr;
 }
 
-bool SipFront::stands(CallId call, const std::string& description) {
+bool SipFront::established(CallId call, const std::string& description) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return false;
@@ -185,7 +185,7 @@
   return true;
 }
 
-void SipFront::refused(CallId call, core::Why why, Duration later) {
+void SipFront::rejected(CallId call, core::FailureReason why, Duration later) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
@@ -212,7 +212,7 @@
   close_askers(d, call);  // only now: a connection without an open set-up may end at any time
 }
 
-void SipFront::over(CallId call) {
+void SipFront::ended(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -30,11 +30,11 @@
   [[nodiscard]] const net::Door::Counts& connections() const { return door_.counts(); }
   void close_all() { door_.close_all(); }  // waits until every connection has ended
 
-  bool stands(CallId call, const std::string& description) override;
-  void refused(CallId call, core::Why why, Duration later) override;
+  bool established(CallId call, const std::string& description) override;
+  void rejected(CallId call, core::FailureReason why, Duration later) override;
   void released(CallId call, int cause) override;
-  void over(CallId call) override;
-  bool waits(CallId call) override;
+  void ended(CallId call) override;
+  bool still_waiting(CallId call) override;
 
  private:
   friend class SipConnection;
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -14,8 +14,8 @@
 // A caller that is there reads at once: what it left unread for longer it had read, or is out of reach.
 // Longer than our own delay in hearing of its end on a loaded machine, and shorter than a caller waits until
 // it closes an idle connection (4 s).
-inline constexpr membership::PendingReleasesSettings kReleases{.settled = std::chrono::seconds(3),
-                                                               .most = 256};
+inline constexpr membership::PendingReleasesSettings kReleases{.assume_read_after = std::chrono::seconds(3),
+                                                               .max_size = 256};
 
 // `echoed`: the headers of the request that its answer repeats.
 std::string sip_answer(int status, const char* reason, const std::string& echoed,
@@ -73,7 +73,7 @@
  private:
   friend class SipFront;
   SipFront& front_;
-  membership::Releases releases_{kReleases};  // that went here; with the front's lock
+  membership::PendingReleases releases_{kReleases};  // that went here; with the front's lock
 };
 
 }  // namespace reeltack::platform
--- a/src/platform/sip_releases.cpp
+++ b/src/platform/sip_releases.cpp
@@ -15,7 +15,7 @@
 
 bool SipFront::tell_over(SipConnection& to, CallId call, const std::string& line, Takes how) {
   if (!to.listens() || (how == Takes::at_once && to.behind()) || !to.push(line)) return false;
-  to.releases_.sent(call, line, net::now());
+  to.releases_.add(call, line, net::now());
   return true;
 }
 
@@ -37,7 +37,7 @@
 void SipFront::unheard(SipConnection& from) {
   const std::lock_guard hold(lock_);
   const bool unread = from.why() == net::Peer::End::unread || from.why() == net::Peer::End::cut;
-  auto again = unread ? from.releases_.unread() : from.releases_.ended(net::now());
+  auto again = unread ? from.releases_.take_all() : from.releases_.take_after_disconnect(net::now());
   for (auto& release : again) owed_.push_back(std::move(release));
   std::erase_if(owed_, [this, &from](const auto& release) {
     return tell_any(nullptr, &from, release.first, release.second);
@@ -50,7 +50,7 @@
   const auto call = id == nullptr ? std::nullopt : net::parse_hex16(*id);
   if (!call) return;
   const std::lock_guard hold(lock_);
-  from.releases_.heard(CallId{*call});
+  from.releases_.acknowledge(CallId{*call});
 }
 
 // Our side is closed, so that its caller hears nothing more here; what it ends, ends all the same.
--- a/src/rules/catalogue.cpp
+++ b/src/rules/catalogue.cpp
@@ -8,8 +8,8 @@
 namespace reeltack::rules {
 namespace {
 
-constexpr std::uint64_t kMostAttempts = 5;
-constexpr Duration kLeastGuard = std::chrono::milliseconds(300);
+constexpr std::uint64_t kMaxAttempts = 5;
+constexpr Duration kMinReleaseGuard = std::chrono::milliseconds(300);
 
 constexpr const char* kEffects[] = {"repeatable", "by_key", "once"};
 constexpr const char* kShapes[] = {"pools", "mesh"};
@@ -21,7 +21,7 @@
   return true;
 }
 
-std::string spell_places(const std::vector<std::uint32_t>& places) {
+std::string format_places(const std::vector<std::uint32_t>& places) {
   if (places.empty()) return "any";
   std::string out;
   for (const std::uint32_t place : places) out += (out.empty() ? "" : ",") + std::to_string(place);
@@ -36,7 +36,7 @@
     read.push_back(static_cast<std::uint32_t>(*place));
     rest.remove_prefix(std::min(one.size() + 1, rest.size()));
   }
-  if (spell_places(read) != text) return false;
+  if (format_places(read) != text) return false;
   out = std::move(read);
   return true;
 }
@@ -74,28 +74,28 @@
     {"effect", Type::word, Severity::critical,
      [](const C& c) { return std::string(kEffects[static_cast<int>(c.effect)]); },
      [](C& c, std::string_view text) { return read_name(text, kEffects, c.effect); }},
-    {"places", Type::word, Severity::major, [](const C& c) { return spell_places(c.places); },
+    {"places", Type::word, Severity::major, [](const C& c) { return format_places(c.places); },
      [](C& c, std::string_view text) { return read_places(text, c.places); }},
 };
 using T = TenantSettings;
 const Entry<T> kTenant[] = {entry<T, &T::quota_per_second>("quota")};
 
 template <class Of, std::size_t N>
-const Entry<Of>* named(const Entry<Of> (&entries)[N], std::string_view name) {
+const Entry<Of>* find_entry(const Entry<Of> (&entries)[N], std::string_view name) {
   const auto found =
       std::find_if(std::begin(entries), std::end(entries), [name](const auto& e) { return e.name == name; });
   return found == std::end(entries) ? nullptr : found;
 }
 
-std::string classes_in_order(std::span<const std::string> names) {
+std::string format_classes(std::span<const std::string> names) {
   std::string out;
   for (const std::string& name : names) out += (out.empty() ? "" : ",") + escape_name(name);
-  constexpr std::size_t kMost = 200;  // a longer list stands by its digest
+  constexpr std::size_t kMaxSize = 200;  // a longer list is represented by its digest
   if (out.empty()) return "none";
-  return out.size() <= kMost ? out : to_canonical(std::uint64_t{digest_of("classes", out)});
+  return out.size() <= kMaxSize ? out : to_canonical(std::uint64_t{digest_of("classes", out)});
 }
 
-// The parts of a key: what it is of, which one, and its name.
+// The parts of a key: what kind of object it belongs to, which one, and the rule's name.
 struct Parts {
   enum class Of { nothing, classes, module, one_class, tenant } of = Of::nothing;
   std::size_t index = 0;
@@ -118,8 +118,8 @@
   return index && *index < tenants ? Parts{Parts::Of::tenant, *index, name} : Parts{};
 }
 
-std::string said(std::string key, const char* what, const std::string& found) {
-  return key.append(what).append(found);
+std::string violation(std::string key, const char* requirement, const std::string& found) {
+  return key.append(requirement).append(found);
 }
 
 template <class Of>
@@ -137,9 +137,9 @@
   return kNames[static_cast<int>(severity)];
 }
 
-Tree read_back(const Settings& settings, std::span<const std::string> class_names) {
+Tree rules_of(const Settings& settings, std::span<const std::string> class_names) {
   Tree out;
-  bool put = out.put("classes", classes_in_order(class_names));
+  bool put = out.put("classes", format_classes(class_names));
   for (const auto& e : kModule) put = out.put(std::string("module.") + e.name, e.get(settings)) && put;
   for (std::size_t i = 0; i < settings.classes.size() && i < class_names.size(); ++i) {
     const std::string at = "class." + escape_name(class_names[i]) + ".";
@@ -148,25 +148,25 @@
   for (std::size_t i = 0; i < settings.tenants.size(); ++i)
     for (const auto& e : kTenant)
       put = out.put("tenant." + std::to_string(i) + "." + e.name, e.get(settings.tenants[i])) && put;
-  // What does not fit is said, so that two trees that were cut are not taken for whole.
+  // Mark an incomplete tree, so that two truncated trees are not taken for complete ones.
   if (!put) static_cast<void>(out.put("cut", "yes"));
   return out;
 }
 
-std::string lay_over(Settings& settings, std::span<const std::string> class_names, std::string_view key,
-                     std::string_view value) {
+std::string apply_rule(Settings& settings, std::span<const std::string> class_names, std::string_view key,
+                       std::string_view value) {
   const Parts parts = parts_of(key, class_names, settings.tenants.size());
   switch (parts.of) {
     case Parts::Of::module:
-      return set(named(kModule, parts.name), settings, key, value);
+      return set(find_entry(kModule, parts.name), settings, key, value);
     case Parts::Of::one_class:
-      return set(named(kClass, parts.name), settings.classes.at(parts.index), key, value);
+      return set(find_entry(kClass, parts.name), settings.classes.at(parts.index), key, value);
     case Parts::Of::tenant:
-      return set(named(kTenant, parts.name), settings.tenants.at(parts.index), key, value);
+      return set(find_entry(kTenant, parts.name), settings.tenants.at(parts.index), key, value);
     case Parts::Of::classes:
-      return value == classes_in_order(class_names)
+      return value == format_classes(class_names)
                  ? std::string()
-                 : "classes: are " + classes_in_order(class_names) +
+                 : "classes: are " + format_classes(class_names) +
                        " here, and no version changes that; not '" + std::string(value) + "'";
     case Parts::Of::nothing:
       break;
@@ -174,22 +174,22 @@
   return std::string(key) + ": is no rule";
 }
 
-std::optional<Meaning> rule_info(std::string_view key, std::span<const std::string> class_names,
-                                 std::size_t tenants) {
+std::optional<RuleInfo> rule_info(std::string_view key, std::span<const std::string> class_names,
+                                  std::size_t tenants) {
   const Parts parts = parts_of(key, class_names, tenants);
   const auto of = [](const auto* entry) {
     return entry == nullptr ? std::nullopt
-                            : std::optional<Meaning>({entry->type, entry->severity, Takes::at_start});
+                            : std::optional<RuleInfo>({entry->type, entry->severity, Activation::at_start});
   };
   switch (parts.of) {
     case Parts::Of::module:
-      return of(named(kModule, parts.name));
+      return of(find_entry(kModule, parts.name));
     case Parts::Of::one_class:
-      return of(named(kClass, parts.name));
+      return of(find_entry(kClass, parts.name));
     case Parts::Of::tenant:
-      return of(named(kTenant, parts.name));
+      return of(find_entry(kTenant, parts.name));
     case Parts::Of::classes:
-      return Meaning{Type::word, Severity::major, Takes::at_start};
+      return RuleInfo{Type::word, Severity::major, Activation::at_start};
     case Parts::Of::nothing:
       break;
   }
@@ -200,15 +200,16 @@
   std::vector<std::string> out;
   for (const auto& [key, value] : tree.rules()) {
     if (severity_of(key, value) == Severity::critical && key == "module.attempts")
-      out.push_back(said(key, ": must be 1 to 5, not ", value));
+      out.push_back(violation(key, ": must be 1 to 5, not ", value));
     if (severity_of(key, value) == Severity::critical && key == "module.release_guard")
-      out.push_back(said(key, ": must be 300 ms or more, not ", value));
+      out.push_back(violation(key, ": must be 300 ms or more, not ", value));
     if (!key.starts_with("class.") || !key.ends_with(".aim")) continue;
     const std::string of(section_of(key));
     const auto aim = read_duration(value);
     const auto deadline = read_duration(tree.value(of + ".deadline").value_or(""));
     if (aim && deadline && *aim > *deadline)
-      out.push_back(said(key, ": must not be longer than ", of + ".deadline, " + to_canonical(*deadline)));
+      out.push_back(
+          violation(key, ": must not be longer than ", of + ".deadline, " + to_canonical(*deadline)));
   }
   return out;
 }
@@ -216,16 +217,16 @@
 Severity severity_of(std::string_view key, const std::optional<std::string>& is) {
   if (key == "module.attempts") {
     const auto cap = read_count(is.value_or(""));
-    return !cap || *cap < 1 || *cap > kMostAttempts ? Severity::critical : Severity::major;
+    return !cap || *cap < 1 || *cap > kMaxAttempts ? Severity::critical : Severity::major;
   }
   if (key == "module.release_guard") {
     const auto guard = read_duration(is.value_or(""));
-    return !guard || *guard < kLeastGuard ? Severity::critical : Severity::major;
+    return !guard || *guard < kMinReleaseGuard ? Severity::critical : Severity::major;
   }
   if (key.starts_with("module."))
-    if (const auto* e = named(kModule, key.substr(7))) return e->severity;
+    if (const auto* e = find_entry(kModule, key.substr(7))) return e->severity;
   if (key.starts_with("class."))
-    if (const auto* e = named(kClass, key.substr(key.rfind('.') + 1))) return e->severity;
+    if (const auto* e = find_entry(kClass, key.substr(key.rfind('.') + 1))) return e->severity;
   return key == "classes" || key.starts_with("tenant.") ? Severity::major : Severity::notice;
 }
 
--- a/src/rules/entries.h
+++ b/src/rules/entries.h
@@ -1,6 +1,4 @@
-// How an entry of a catalogue reads and writes one value, by the value's own type.
-//
-// Owns: nothing. Must never: know a key. Threads: none.
+// Builds the entries of a catalogue: how a value is formatted and parsed, by the value's own type.
 #pragma once
 
 #include <limits>
@@ -12,7 +10,7 @@
 namespace reeltack::rules {
 
 template <class T>
-struct Spelling {
+struct ValueFormat {
   static_assert(std::is_unsigned_v<T>);
   static constexpr Type kType = Type::count;
   static std::string of(const T& value) { return to_canonical(std::uint64_t{value}); }
@@ -24,7 +22,7 @@
   }
 };
 template <>
-struct Spelling<Duration> {
+struct ValueFormat<Duration> {
   static constexpr Type kType = Type::duration;
   static std::string of(const Duration& value) { return to_canonical(value); }
   static bool read(std::string_view text, Duration& out) {
@@ -35,7 +33,7 @@
   }
 };
 template <>
-struct Spelling<double> {
+struct ValueFormat<double> {
   static constexpr Type kType = Type::number;
   static std::string of(const double& value) { return to_canonical(value); }
   static bool read(std::string_view text, double& out) {
@@ -45,7 +43,7 @@
   }
 };
 template <>
-struct Spelling<bool> {
+struct ValueFormat<bool> {
   static constexpr Type kType = Type::flag;
   static std::string of(const bool& value) { return to_canonical(value); }
   static bool read(std::string_view text, bool& out) {
@@ -55,23 +53,25 @@
   }
 };
 
-// What stands in `of` behind one member after the other.
+// Follows a chain of member pointers from `of`.
 template <auto First, auto... Rest, class Of>
-auto& behind(Of& of) {
+auto& member_of(Of& of) {
   if constexpr (sizeof...(Rest) == 0) {
     return of.*First;
   } else {
-    return behind<Rest...>(of.*First);
+    return member_of<Rest...>(of.*First);
   }
 }
 
-// The entry of `Of`'s member, or of a member's member: entry<Of, &Of::part, &Part::value>("name").
+// The entry of a member of `Of`, or of a member's member: entry<Of, &Of::part, &Part::value>("name").
 template <class Of, auto... Members>
 Entry<Of> entry(const char* name, Severity severity = Severity::major) {
-  using Value = std::remove_cvref_t<decltype(behind<Members...>(std::declval<Of&>()))>;
-  return {name, Spelling<Value>::kType, severity,
-          [](const Of& of) { return Spelling<Value>::of(behind<Members...>(of)); },
-          [](Of& of, std::string_view text) { return Spelling<Value>::read(text, behind<Members...>(of)); }};
+  using Value = std::remove_cvref_t<decltype(member_of<Members...>(std::declval<Of&>()))>;
+  return {name, ValueFormat<Value>::kType, severity,
+          [](const Of& of) { return ValueFormat<Value>::of(member_of<Members...>(of)); },
+          [](Of& of, std::string_view text) {
+            return ValueFormat<Value>::read(text, member_of<Members...>(of));
+          }};
 }
 
 }  // namespace reeltack::rules
--- a/src/rules/tree.cpp
+++ b/src/rules/tree.cpp
@@ -7,40 +7,40 @@
 namespace reeltack::rules {
 namespace {
 
-bool plain(char c) {
+bool is_key_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_' || c == '-' || c == '~';
 }
 
-// Of texts one after the other, each with its end, so that "ab","c" is not "a","bc".
-class Sum {
+// Digest of a sequence of texts. Their lengths count too, so that "ab","c" differs from "a","bc".
+class DigestBuilder {
  public:
-  Sum& add(std::string_view text) {
-    sum_ = ::XXH3_64bits_withSeed(text.data(), text.size(), sum_ + text.size());
+  DigestBuilder& add(std::string_view text) {
+    digest_ = ::XXH3_64bits_withSeed(text.data(), text.size(), digest_ + text.size());
     return *this;
   }
-  Sum& add(Digest digest) { return add({reinterpret_cast<const char*>(&digest), sizeof digest}); }
-  [[nodiscard]] Digest value() const { return sum_ == 0 ? 1 : sum_; }
+  DigestBuilder& add(Digest digest) { return add({reinterpret_cast<const char*>(&digest), sizeof digest}); }
+  [[nodiscard]] Digest value() const { return digest_ == 0 ? 1 : digest_; }
 
  private:
-  Digest sum_ = 0;
+  Digest digest_ = 0;
 };
 
-constexpr std::string_view kAbsent{"\0absent", 7};  // no value is spelt so
+constexpr std::string_view kAbsent{"\0absent", 7};  // no value has control characters
 
 }  // namespace
 
 bool is_key(std::string_view text) {
-  constexpr std::size_t kMost = 128;
-  if (text.empty() || text.size() > kMost || text.front() == '.' || text.back() == '.') return false;
+  constexpr std::size_t kMaxSize = 128;
+  if (text.empty() || text.size() > kMaxSize || text.front() == '.' || text.back() == '.') return false;
   return text.find("..") == std::string_view::npos &&
-         std::all_of(text.begin(), text.end(), [](char c) { return c == '.' || plain(c); });
+         std::all_of(text.begin(), text.end(), [](char c) { return c == '.' || is_key_char(c); });
 }
 
 std::string escape_name(std::string_view name) {
   constexpr const char* kHex = "0123456789abcdef";
   std::string out;
   for (const char c : name) {
-    if (plain(c) && c != '~') {
+    if (is_key_char(c) && c != '~') {
       out += c;
       continue;
     }
@@ -67,56 +67,59 @@
 }
 
 std::vector<Section> Tree::sections() const {
-  std::map<std::string_view, std::pair<Sum, std::size_t>> sums;
+  std::map<std::string_view, std::pair<DigestBuilder, std::size_t>> by_name;
   for (const auto& [key, value] : rules_) {
-    auto& [sum, count] = sums[section_of(key)];
-    sum.add(digest_of(key, value));
+    auto& [builder, count] = by_name[section_of(key)];
+    builder.add(digest_of(key, value));
     ++count;
   }
   std::vector<Section> out;
-  out.reserve(sums.size());
-  for (const auto& [name, sum] : sums) out.push_back({std::string(name), sum.first.value(), sum.second});
+  out.reserve(by_name.size());
+  for (const auto& [name, builder] : by_name)
+    out.push_back({std::string(name), builder.first.value(), builder.second});
   return out;
 }
 
-Digest Tree::whole() const {
-  Sum sum;
-  for (const Section& section : sections()) sum.add(section.name).add(section.digest);
-  return sum.value();
+Digest Tree::digest() const {
+  DigestBuilder builder;
+  for (const Section& section : sections()) builder.add(section.name).add(section.digest);
+  return builder.value();
 }
 
-Digest digest_of(std::string_view key, std::string_view value) { return Sum().add(key).add(value).value(); }
+Digest digest_of(std::string_view key, std::string_view value) {
+  return DigestBuilder().add(key).add(value).value();
+}
 
 Digest digest_of(const Rules& governed, const Tree& tree) {
-  Sum sum;
-  for (const auto& [key, wanted] : governed)
-    sum.add(digest_of(key, tree.value(key).value_or(std::string(kAbsent))));
-  return sum.value();
+  DigestBuilder builder;
+  for (const auto& [key, value] : governed)
+    builder.add(digest_of(key, tree.value(key).value_or(std::string(kAbsent))));
+  return builder.value();
 }
 Digest digest_of(const Rules& rules) {
-  Sum sum;
-  for (const auto& [key, value] : rules) sum.add(digest_of(key, value));
-  return sum.value();
+  DigestBuilder builder;
+  for (const auto& [key, value] : rules) builder.add(digest_of(key, value));
+  return builder.value();
 }
 
-std::vector<Difference> differences(const Tree& tree, const Rules& wanted) {
+std::vector<Difference> differences(const Tree& tree, const Rules& expected) {
   std::vector<Difference> out;
-  for (const auto& [key, value] : wanted) {
-    const auto is = tree.value(key);
-    if (is != value) out.push_back({key, is, value});
+  for (const auto& [key, value] : expected) {
+    const auto actual = tree.value(key);
+    if (actual != value) out.push_back({key, actual, value});
   }
   return out;
 }
 
-std::vector<Difference> differences(const Tree& a, const Tree& b, std::size_t* looked) {
+std::vector<Difference> differences(const Tree& a, const Tree& b, std::size_t* sections_compared) {
   std::map<std::string, std::pair<Digest, Digest>> sections;
   for (const Section& s : a.sections()) sections[s.name].first = s.digest;
   for (const Section& s : b.sections()) sections[s.name].second = s.digest;
   std::vector<Difference> out;
-  std::size_t opened = 0;
+  std::size_t compared = 0;
   for (const auto& [name, digests] : sections) {
     if (digests.first == digests.second) continue;
-    ++opened;
+    ++compared;
     std::map<std::string, Difference> found;
     for (const auto& [key, value] : a.rules())
       if (section_of(key) == name) found[key] = {key, value, std::nullopt};
@@ -124,12 +127,12 @@
       if (section_of(key) != name) continue;
       Difference& d = found[key];
       d.key = key;
-      d.wanted = value;
+      d.expected = value;
     }
     for (auto& [key, d] : found)
-      if (d.is != d.wanted) out.push_back(std::move(d));
+      if (d.actual != d.expected) out.push_back(std::move(d));
   }
-  if (looked != nullptr) *looked = opened;
+  if (sections_compared != nullptr) *sections_compared = compared;
   return out;
 }
 
--- a/src/rules/value.cpp
+++ b/src/rules/value.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <class T>
-std::optional<T> whole(std::string_view text) {
+std::optional<T> parse_all(std::string_view text) {
   T out{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -34,17 +34,17 @@
 
 std::optional<Duration> read_duration(std::string_view text) {
   if (!text.ends_with("ns")) return std::nullopt;
-  const auto ns = whole<std::int64_t>(text.substr(0, text.size() - 2));
+  const auto ns = parse_all<std::int64_t>(text.substr(0, text.size() - 2));
   if (!ns || to_canonical(Duration{*ns}) != text) return std::nullopt;
   return Duration{*ns};
 }
 std::optional<double> read_number(std::string_view text) {
-  const auto out = whole<double>(text);
+  const auto out = parse_all<double>(text);
   if (!out || !std::isfinite(*out) || to_canonical(*out) != text) return std::nullopt;
   return out;
 }
 std::optional<std::uint64_t> read_count(std::string_view text) {
-  const auto out = whole<std::uint64_t>(text);
+  const auto out = parse_all<std::uint64_t>(text);
   if (!out || to_canonical(*out) != text) return std::nullopt;
   return out;
 }
@@ -54,8 +54,8 @@
   return std::nullopt;
 }
 bool is_word(std::string_view text) {
-  constexpr std::size_t kMost = 256;
-  return !text.empty() && text.size() <= kMost && std::all_of(text.begin(), text.end(), [](char c) {
+  constexpr std::size_t kMaxSize = 256;
+  return !text.empty() && text.size() <= kMaxSize && std::all_of(text.begin(), text.end(), [](char c) {
     return static_cast<unsigned char>(c) >= 0x20 && c != 0x7f;
   });
 }
--- a/src/rules/value.h
+++ b/src/rules/value.h
@@ -1,15 +1,12 @@
-// The one spelling of a rule's value: what is equal is spelt equally, whoever wrote it and however.
-//
-// Owns: the spelling of each type, and its reading.
-// Must never: take a spelling that is not the one, or know what a value is for.
+// The canonical form of rule values: equal values have equal texts, whoever wrote them. Other forms are
+// rejected.
 //
 //   duration  whole nanoseconds          300000000ns
-//   number    the shortest that reads back (std::to_chars); no -0, no infinity, no NaN
-//   count     decimal digits             5
-//   flag      yes, no
-//   word      as it stands: 1 to 256 bytes, no control characters
+//   number    the shortest text that reads back as the same number (std::to_chars); no -0, no infinity, no
+//   NaN count     decimal digits             5 flag      yes, no word      unchanged: 1 to 256 bytes, no
+//   control characters
 //
-// Threads: none. Errors: read() gives nothing where the text is not the spelling of that type.
+// Thread safety: stateless functions. Errors: the read functions return nothing unless the text is canonical.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +22,7 @@
 const char* name_of(Type type);
 
 std::string to_canonical(Duration value);
-std::string to_canonical(double value);  // not finite: "none", which reads back as nothing
+std::string to_canonical(double value);  // not finite: "none", which is not a number when read back
 std::string to_canonical(std::uint64_t value);
 std::string to_canonical(bool value);
 
--- a/src/shutdown/shutdown.cpp
+++ b/src/shutdown/shutdown.cpp
@@ -7,16 +7,16 @@
 
 using namespace std::chrono_literals;
 
-// A step is short, so that the end follows soon after the last answer.
-constexpr Duration kStep = 10ms;
-// For what callers said last to reach the offices, on connections that may have to come up for it.
-constexpr Duration kLastReleases = 60ms;
+// Short, so that the program ends soon after the last answer.
+constexpr Duration kStepInterval = 10ms;
+// For the last releases of callers to reach the offices, over connections that may first have to be made.
+constexpr Duration kLastReleasesTime = 60ms;
 
-// Whatever was posted to the core before has been taken, and told to callers and offices.
+// Waits until everything posted to the core before has been processed and relayed to callers and offices.
 void await_core(core::Core& core) {
-  std::promise<void> taken;
-  core.at(net::now(), [&taken] { taken.set_value(); });
-  taken.get_future().wait();
+  std::promise<void> processed;
+  core.run_at(net::now(), [&processed] { processed.set_value(); });
+  processed.get_future().wait();
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
 void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
                ws::Front* websocket, const limits::ShutdownTimes& times) {
   limits::ShutdownSequence order(times);
-  for (bool done = false; !done; net::pause_until(net::now() + (done ? 0ms : kStep))) {
+  for (bool done = false; !done; net::pause_until(net::now() + (done ? 0ms : kStepInterval))) {
     const bool clients_closed = websocket == nullptr || websocket->clients_closed();
     const auto steps = order.next(net::now(), {.calls_open = core.open_calls() > 0,
                                                .offices_finished = offices.finished(),
@@ -42,12 +42,12 @@
       await_core(core);
       callers.close_idle();
     }
-    if (steps.close_callers_by) callers.close_by(times.connections_deadline);
+    if (steps.close_callers_by_deadline) callers.close_by(times.connections_deadline);
     done = steps.done;
   }
   await_core(core);
   if (!offices.owes()) return;
-  for (const Time by = net::now() + kLastReleases; !offices.finished() && net::now() < by;)
+  for (const Time deadline = net::now() + kLastReleasesTime; !offices.finished() && net::now() < deadline;)
     net::pause_until(net::now() + 1ms);
 }
 
--- a/src/shutdown/shutdown.h
+++ b/src/shutdown/shutdown.h
@@ -1,7 +1,7 @@
-// The orderly end of the program's connections to callers and offices.
+// Closes the program's connections to callers and offices in the order of limits::ShutdownSequence.
 //
-// Owns: carrying out the order of limits::ShutdownSequence, and the waits between its steps.
-// Must never: end while a request that was read has no answer, or drop a release that was read.
+// Does not return while a request that has been read is unanswered; a release that has been read is not
+// dropped.
 #pragma once
 
 #include "limits/shutdown.h"
@@ -11,8 +11,8 @@
 
 namespace reeltack {
 
-// Returns once every caller's connection has ended and no call is open; in time for `times`. `websocket`:
-// null where there is no such front; its clients are closed with the callers, its endpoints are left open.
+// Returns once every caller's connection has ended and no call is open, within `times`. `websocket`: null
+// without a WebSocket front; its clients are closed together with the callers, its endpoints are left open.
 void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
                ws::Front* websocket, const limits::ShutdownTimes& times);
 
--- a/src/standin/pipe.cpp
+++ b/src/standin/pipe.cpp
@@ -28,7 +28,7 @@
     if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_TIMESTAMPNS) continue;
     timespec stamped{};
     std::memcpy(&stamped, CMSG_DATA(part), sizeof stamped);
-    const clocks::Reading now = base::read_clocks();
+    const clocks::ClockReading now = base::read_clocks();
     const base::WallTime arrived{span_of(stamped)};
     return now.steady - std::max(now.wall - arrived, Duration{});
   }
--- a/src/trunk/calls.cpp
+++ b/src/trunk/calls.cpp
@@ -12,18 +12,18 @@
 
 constexpr Duration kMinPatience = 1ms;  // of a caller, for a call attempt to be worth its circuit
 
-int cause_of(core::Why why) {
+int cause_of(core::FailureReason why) {
   switch (why) {
-    case core::Why::refused:
+    case core::FailureReason::refused:
       return kCongestion;
-    case core::Why::duplicate:
+    case core::FailureReason::duplicate:
       return kNotAvailable;  // the call came round to where it has been: not run here
-    case core::Why::given_up:
+    case core::FailureReason::cancelled:
       return core::kNormalClearing;
-    case core::Why::none:
-    case core::Why::attempts_failed:
-    case core::Why::deadline_passed:
-    case core::Why::unknown_class:
+    case core::FailureReason::none:
+    case core::FailureReason::attempts_failed:
+    case core::FailureReason::deadline_passed:
+    case core::FailureReason::unknown_class:
       break;
   }
   return kFailed;
@@ -37,9 +37,9 @@
   Words words;
   words.set_up.call_class = set_up.call_class < class_names_.size() ? class_names_[set_up.call_class] : "";
   words.set_up.number = static_cast<std::uint64_t>(set_up.number);
-  if (set_up.give_up - base::now() < kMinPatience)
+  if (set_up.expires_at - base::now() < kMinPatience)
     return core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::not_sent);
-  words.give_up = set_up.give_up;
+  words.give_up = set_up.expires_at;
   words.set_up.first_choice = settings_.far_place;
   words.description = set_up.description;
   circuits::GroupActions actions;
@@ -52,7 +52,7 @@
   wake();
 }
 
-void Trunk::give_up(ServerId office, CallId call, std::uint32_t /*attempt*/) { release(office, call); }
+void Trunk::cancel(ServerId office, CallId call, std::uint32_t /*attempt*/) { release(office, call); }
 void Trunk::release(ServerId /*office*/, CallId call) {
   const std::lock_guard hold(lock_);
   attempts_.erase(call);
@@ -62,7 +62,7 @@
   wake();
 }
 
-bool Trunk::stands(CallId call, const std::string& description) {
+bool Trunk::established(CallId call, const std::string& description) {
   const std::lock_guard hold(lock_);
   if (!group_.holds(static_cast<std::uint64_t>(call), false)) return false;
   circuits::GroupActions actions;
@@ -73,7 +73,7 @@
   wake();
   return true;
 }
-void Trunk::refused(CallId call, core::Why why, Duration later) {
+void Trunk::rejected(CallId call, core::FailureReason why, Duration later) {
   const std::lock_guard hold(lock_);
   circuits::GroupActions actions;
   group_.release(tick(), static_cast<std::uint64_t>(call), false, cause_of(why), actions);
@@ -90,6 +90,6 @@
   carry_out(actions, {}, nullptr);
   wake();
 }
-void Trunk::over(CallId /*call*/) {}  // the group has let go of it already
+void Trunk::ended(CallId /*call*/) {}  // the group has let go of it already
 
 }  // namespace reeltack::trunk
--- a/src/trunk/group_actions.cpp
+++ b/src/trunk/group_actions.cpp
@@ -22,34 +22,35 @@
       if (from != nullptr) offer(o->call, *from);
     } else if (const auto* n = std::get_if<circuits::Answered>(&a)) {
       attempts_.erase(CallId{n->call});
-      core_.answered(settings_.office, CallId{n->call}, from == nullptr ? std::string() : from->description);
+      core_.office_answered(settings_.office, CallId{n->call},
+                            from == nullptr ? std::string() : from->description);
     } else if (const auto* x = std::get_if<circuits::NotSent>(&a)) {
       const auto out = attempts_.extract(CallId{x->call});
       if (out) core_.attempt_failed(CallId{x->call}, out.mapped(), AttemptOutcome::not_sent);
     } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
       const CallId call{v->call};
       if (!v->outgoing) {
-        v->stood ? core_.release(call, *this) : core_.give_up(call, *this);
+        v->stood ? core_.release(call, *this) : core_.cancel(call, *this);
         continue;
       }
       const auto out = attempts_.extract(call);
       if (v->stood) {
-        core_.ended({settings_.office,
-                     call,
-                     v->cause == core::kNormalClearing ? v->cause : core::kTemporaryFailure,
-                     "",
-                     {}});
+        core_.office_released({settings_.office,
+                               call,
+                               v->cause == core::kNormalClearing ? v->cause : core::kTemporaryFailure,
+                               "",
+                               {}});
       } else if (out && v->told && (v->cause == kNotAvailable || v->cause == circuits::kNoCircuit)) {
         core_.attempt_failed(call, out.mapped(), AttemptOutcome::not_sent);
       } else if (out && v->told) {
         const bool congested = v->cause == kCongestion;
-        core_.ended({settings_.office,
-                     call,
-                     congested           ? kFull
-                     : v->cause == kBusy ? kBusy
-                                         : kFailed,
-                     congested ? "swamped" : "",
-                     {}});
+        core_.office_released({settings_.office,
+                               call,
+                               congested           ? kFull
+                               : v->cause == kBusy ? kBusy
+                                                   : kFailed,
+                               congested ? "swamped" : "",
+                               {}});
       } else if (out) {
         core_.attempt_failed(call, out.mapped(), AttemptOutcome::reset);
       }
@@ -60,7 +61,7 @@
 // A call that comes in goes through the same core, module and rules as any other.
 void Trunk::offer(std::uint64_t call, const Signal& from) {
   core::Request request;
-  CallArrived& arrived = request.told;
+  CallArrived& arrived = request.arrival;
   arrived.call = CallId{call};
   arrived.number = CalledNumber{from.set_up.number};
   arrived.destination = from.set_up.first_choice;
@@ -70,7 +71,7 @@
   request.class_known = name != class_names_.end();
   arrived.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
   request.description = from.description;
-  request.side = this;
+  request.frontend = this;
   core_.request(std::move(request));
 }
 
@@ -85,7 +86,7 @@
   LoadReport report;
   report.free_lines = free;
   report.lines = static_cast<double>(settings_.group.size);
-  core_.reported(settings_.office, report);
+  core_.load_reported(settings_.office, report);
 }
 
 }  // namespace reeltack::trunk
--- a/src/trunk/trunk.cpp
+++ b/src/trunk/trunk.cpp
@@ -29,7 +29,7 @@
   wake_read_ = net::Fd(ends[0]);
   wake_write_ = net::Fd(ends[1]);
   if (settings_.listen) listener_ = net::listen_on(*settings_.listen);
-  list_.told(
+  list_.update(
       core::Source::trunk, false,
       {{{settings_.office, settings_.place, settings_.capacity, ServerState::ready, Time{}}, "trunk"}});
   report();
--- a/src/trunk/trunk.h
+++ b/src/trunk/trunk.h
@@ -60,13 +60,13 @@
   // For the core.
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& set_up) override;
-  void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
+  void cancel(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
-  bool stands(CallId call, const std::string& description) override;
-  void refused(CallId call, core::Why why, Duration later) override;
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
+  bool established(CallId call, const std::string& description) override;
+  void rejected(CallId call, core::FailureReason why, Duration later) override;
   void released(CallId call, int cause) override;
-  void over(CallId call) override;
+  void ended(CallId call) override;
 
  private:
   static constexpr Duration kTick = std::chrono::milliseconds(100);  // the longest wait for an event
--- a/src/ws/clients.cpp
+++ b/src/ws/clients.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 using namespace std::chrono_literals;
+using core::FailureReason;
 using core::Phase;
-using core::Why;
 using net::Json;
 using net::quoted;
 
@@ -26,7 +26,7 @@
     return;
   }
   if (type == "set-up") return set_up(from, message, CallId{*call});
-  if (type == "give-up") return core_.give_up(CallId{*call}, *this);
+  if (type == "give-up") return core_.cancel(CallId{*call}, *this);
   if (type == "release") return core_.release(CallId{*call}, *this);
   if (type == "status") return status(from, CallId{*call});
   from->send(error_message("unknown-type", id));
@@ -34,7 +34,7 @@
 
 void Front::set_up(const ConnectionPtr& from, const Json& message, CallId call) {
   core::Request request;
-  CallArrived& told = request.told;
+  CallArrived& told = request.arrival;
   told.call = call;
   const auto number = net::parse_hex16(text_field(message, "number"));
   const auto patience = number_field(message, "patience_ms");
@@ -58,7 +58,7 @@
   const Json* again = message.find("again");
   told.dropped_before = again != nullptr && again->boolean().value_or(false);
   request.description = *description->string();
-  request.side = this;
+  request.frontend = this;
   {
     const std::lock_guard hold(lock_);
     // The call of this id goes on undisturbed; only the second set-up is an error.
@@ -74,15 +74,16 @@
 
 // Answers how the call stands; from now on this connection hears of it.
 void Front::status(const ConnectionPtr& from, CallId call) {
-  core_.ask(call, [this, call, weak = std::weak_ptr(from)](const core::Status& s) {
+  core_.query(call, [this, call, weak = std::weak_ptr(from)](const core::Status& s) {
     const ConnectionPtr connection = weak.lock();
     if (!connection) return;
-    const bool ours = s.side == this;
+    const bool ours = s.frontend == this;
     std::string line = R"({"type":"status","call":")" + id_text(call) + R"(","state":")" +
                        name_text(ours ? s.phase : Phase::unknown) + "\"";
-    if (ours && s.why != Why::none) line += std::string(R"(,"reason":")") + name_text(s.why) + "\"";
-    if (ours && s.phase == Phase::stands) line += ",\"description\":" + quoted(s.description);
-    if (ours && (s.phase == Phase::open || s.phase == Phase::stands)) {
+    if (ours && s.reason != FailureReason::none)
+      line += std::string(R"(,"reason":")") + name_text(s.reason) + "\"";
+    if (ours && s.phase == Phase::established) line += ",\"description\":" + quoted(s.description);
+    if (ours && (s.phase == Phase::open || s.phase == Phase::established)) {
       const std::lock_guard hold(lock_);
       std::weak_ptr<Connection>& listener = listening_[call];
       const ConnectionPtr before = listener.lock();
@@ -108,13 +109,14 @@
   connection->closed(call);  // only now: a connection without an open set-up may end at any time
 }
 
-bool Front::stands(CallId call, const std::string& description) {
+bool Front::established(CallId call, const std::string& description) {
   send_about(call, R"("type":"answer","result":"stands","description":)" + quoted(description), false);
   return true;  // a call outlives its connection: the client can ask for it and release it on another
 }
 
-void Front::refused(CallId call, Why why, Duration later) {
-  if (why == Why::duplicate) return send_about(call, R"("type":"error","reason":"duplicate-id")", true);
+void Front::rejected(CallId call, FailureReason why, Duration later) {
+  if (why == FailureReason::duplicate)
+    return send_about(call, R"("type":"error","reason":"duplicate-id")", true);
   std::string fields = std::string(R"("type":"answer","result":")") + result_text(why) + R"(","reason":")" +
                        name_text(why) + "\"";
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(later).count();
@@ -126,7 +128,7 @@
   send_about(call, R"("type":"released","cause":)" + std::to_string(cause), true);
 }
 
-void Front::over(CallId call) {
+void Front::ended(CallId call) {
   const std::lock_guard hold(lock_);
   listening_.erase(call);
 }
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -23,13 +23,13 @@
   {
     const std::lock_guard hold(lock_);
     id = from->endpoint;
-    if (id) endpoints_[*id].releases.spoke(net::now());
+    if (id) endpoints_[*id].releases.peer_active(net::now());
   }
   if (!id) {
     from->send(error_message("not-registered"));
     return;
   }
-  if (type == "load") return core_.reported(*id, load_report(message));
+  if (type == "load") return core_.load_reported(*id, load_report(message));
   if (type == "drain") return change_state(from, *id, ServerState::draining);
   if (type == "leave") return change_state(from, *id, ServerState::gone);
   about_call(from, *id, message);
@@ -43,7 +43,7 @@
     endpoint.entry.entry.state = state;
     entry = endpoint.entry;
   }
-  list_.told(core::Source::registered, false, {entry});
+  list_.update(core::Source::registered, false, {entry});
   from->send(state == ServerState::draining ? R"({"type":"draining"})" : R"({"type":"left"})");
 }
 
@@ -62,10 +62,11 @@
     const std::lock_guard hold(lock_);
     Endpoint& endpoint = endpoints_[id];
     endpoint.attempts.erase(call);
-    if (ended) endpoint.releases.heard(call);
+    if (ended) endpoint.releases.acknowledge(call);
   }
-  if (!ended) return core_.answered(id, call, text_field(message, "description"));
-  core_.ended({id, call, static_cast<int>(*cause), text_field(message, "note"), load_report(message)});
+  if (!ended) return core_.office_answered(id, call, text_field(message, "description"));
+  core_.office_released(
+      {id, call, static_cast<int>(*cause), text_field(message, "note"), load_report(message)});
 }
 
 // The first byte counts for drains, so all is checked again as the set-up leaves the queue.
@@ -76,12 +77,12 @@
     const auto found = endpoint.attempts.find(set_up.call);
     if (found == endpoint.attempts.end() || found->second.number != set_up.attempt) return false;
     const ConnectionPtr connection = endpoint.connection.lock();
-    const std::int64_t left_ms = whole_ms_left(set_up.give_up);
+    const std::int64_t left_ms = whole_ms_left(set_up.expires_at);
     if (connection && connection->listens() && endpoint.entry.entry.state == ServerState::ready &&
         left_ms > 0) {
       if (left_ms < told_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
-      endpoint.releases.heard(set_up.call);  // of an attempt before; told again, it would end this one
+      endpoint.releases.acknowledge(set_up.call);  // of an attempt before; told again, it would end this one
       core_.attempt_transmitted();
       return true;
     }
@@ -100,7 +101,7 @@
 }
 
 void Front::start(const core::SetUp& set_up) {
-  const std::int64_t left_ms = whole_ms_left(set_up.give_up);
+  const std::int64_t left_ms = whole_ms_left(set_up.expires_at);
   const std::string message = set_up_message(set_up, left_ms);
   const std::lock_guard hold(lock_);
   Endpoint& endpoint = endpoints_[set_up.office];
@@ -114,7 +115,7 @@
   core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::connect_failed);
 }
 
-void Front::give_up(ServerId office, CallId call, std::uint32_t /*attempt*/) {
+void Front::cancel(ServerId office, CallId call, std::uint32_t /*attempt*/) {
   const std::lock_guard hold(lock_);
   Endpoint& endpoint = endpoints_[office];
   const auto found = endpoint.attempts.find(call);
@@ -124,7 +125,7 @@
   const ConnectionPtr connection = endpoint.connection.lock();
   if (!left || !connection) return;  // a set-up that waits for its turn is dropped then
   // Lost with the connection, it would leave the endpoint with a call that nobody wants.
-  endpoint.releases.sent(call, release_message(call), net::now());
+  endpoint.releases.add(call, release_message(call), net::now());
   // A peer that does not read would get this too late: closing gives up what is open there at once.
   if (connection->blocked()) return connection->cut();
   connection->send(R"({"type":"give-up","call":")" + id_text(call) + "\"}");
@@ -142,8 +143,8 @@
     endpoint.owed.emplace_back(call, std::move(message));
     return;
   }
-  endpoint.releases.heard(call);
-  endpoint.releases.sent(call, std::move(message), net::now());
+  endpoint.releases.acknowledge(call);
+  endpoint.releases.add(call, std::move(message), net::now());
 }
 
 }  // namespace reeltack::ws
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -37,17 +37,17 @@
   [[nodiscard]] bool owns(ServerId office);  // it is an endpoint of this front
 
   // For callers.
-  bool stands(CallId call, const std::string& description) override;
-  void refused(CallId call, core::Why why, Duration later) override;
+  bool established(CallId call, const std::string& description) override;
+  void rejected(CallId call, core::FailureReason why, Duration later) override;
   void released(CallId call, int cause) override;
-  void over(CallId call) override;
+  void ended(CallId call) override;
 
   // For endpoints. What is listed elsewhere does not concern them.
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& set_up) override;
-  void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
+  void cancel(ServerId office, CallId call, std::uint32_t attempt) override;
   void release(ServerId office, CallId call) override;
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
 
  private:
   friend class Connection;
@@ -60,7 +60,7 @@
     core::OfficeEntry entry;
     std::weak_ptr<Connection> connection;
     std::map<CallId, Attempt> attempts;
-    membership::Releases releases;                     // that were sent on the connection
+    membership::PendingReleases releases;              // that were sent on the connection
     std::vector<std::pair<CallId, std::string>> owed;  // releases for the next connection
   };
   void from_client(const ConnectionPtr& from, const net::Json& message);
--- a/src/ws/messages.cpp
+++ b/src/ws/messages.cpp
@@ -4,10 +4,10 @@
 
 using base::Json;
 using base::quoted;
+using core::FailureReason;
 using core::Phase;
-using core::Why;
 
-const char* name_text(Why why) {
+const char* name_text(FailureReason why) {
   static constexpr const char* kNames[] = {
       "none", "overload", "tried-in-vain", "deadline-passed", "duplicate-id", "unknown-class", "given-up"};
   return kNames[static_cast<std::size_t>(why)];
@@ -18,8 +18,8 @@
   return kNames[static_cast<std::size_t>(phase)];
 }
 // The named result of a final answer.
-const char* result_text(Why why) {
-  return why == Why::refused ? "refused" : why == Why::given_up ? "given-up" : "failed";
+const char* result_text(FailureReason why) {
+  return why == FailureReason::refused ? "refused" : why == FailureReason::cancelled ? "given-up" : "failed";
 }
 
 std::string id_text(CallId call) { return base::hex16(static_cast<std::uint64_t>(call)); }
--- a/src/ws/messages.h
+++ b/src/ws/messages.h
@@ -12,9 +12,9 @@
 
 namespace reeltack::ws {
 
-const char* name_text(core::Why why);
+const char* name_text(core::FailureReason why);
 const char* name_text(core::Phase phase);
-const char* result_text(core::Why why);  // the named result of a final answer
+const char* result_text(core::FailureReason why);  // the named result of a final answer
 std::string id_text(CallId call);
 
 std::string text_field(const base::Json& message, const char* key);  // empty: missing, or no string
--- a/src/ws/registrations.cpp
+++ b/src/ws/registrations.cpp
@@ -45,7 +45,7 @@
     from->send(error_message("duplicate-id"));
     return;
   }
-  list_.told(core::Source::registered, false, {entry});
+  list_.update(core::Source::registered, false, {entry});
 }
 
 bool Front::bind(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry) {
@@ -95,18 +95,19 @@
     attempts.swap(endpoint.attempts);
     if (endpoint.entry.entry.state == ServerState::ready) endpoint.entry.entry.state = ServerState::draining;
     entry = endpoint.entry;
-    for (auto& release : endpoint.releases.ended(net::now())) endpoint.owed.push_back(std::move(release));
+    for (auto& release : endpoint.releases.take_after_disconnect(net::now()))
+      endpoint.owed.push_back(std::move(release));
     // It may have answered, and the answer be lost: then it would hold the call for ever.
     for (const auto& [call, attempt] : attempts) {
       if (attempt.left) endpoint.owed.emplace_back(call, release_message(call));
     }
   }
-  list_.told(core::Source::registered, false, {entry});
+  list_.update(core::Source::registered, false, {entry});
   for (const auto& [call, attempt] : attempts)
     core_.attempt_failed(call, attempt.number,
                          attempt.left ? AttemptOutcome::reset : AttemptOutcome::not_sent);
   // No connection owns a standing call; but an endpoint that stays away holds none any more.
-  core_.at(net::now() + kAway, [this, entry] { forget_if_away(entry); });
+  core_.run_at(net::now() + kAway, [this, entry] { forget_if_away(entry); });
 }
 
 void Front::forget_if_away(core::OfficeEntry entry) {
@@ -117,7 +118,7 @@
     endpoints_.erase(found);
   }
   entry.entry.state = ServerState::gone;
-  list_.told(core::Source::registered, false, {entry});
+  list_.update(core::Source::registered, false, {entry});
 }
 
 }  // namespace reeltack::ws
--- a/tests/clocks/core_steps_test.cpp
+++ b/tests/clocks/core_steps_test.cpp
@@ -35,26 +35,26 @@
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
   void start(const core::SetUp& set_up) override {
     note("start", set_up.call, set_up.attempt);
-    note("left in ms:", set_up.call, static_cast<std::uint32_t>((set_up.give_up - base::now()) / 1ms));
+    note("left in ms:", set_up.call, static_cast<std::uint32_t>((set_up.expires_at - base::now()) / 1ms));
   }
-  void give_up(ServerId /*endpoint*/, CallId call, std::uint32_t attempt) override {
+  void cancel(ServerId /*endpoint*/, CallId call, std::uint32_t attempt) override {
     note("give up", call, attempt);
   }
   void release(ServerId /*endpoint*/, CallId call) override { note("release", call); }
-  void keep(ServerId /*endpoint*/, bool calls_established) override {
+  void keep_connection(ServerId /*endpoint*/, bool calls_established) override {
     note("keep", CallId{}, calls_established);
   }
-  bool stands(CallId call, const std::string& /*description*/) override {
+  bool established(CallId call, const std::string& /*description*/) override {
     note("stands", call);
     return true;
   }
-  void refused(CallId call, core::Why why, Duration later) override {
+  void rejected(CallId call, core::FailureReason why, Duration later) override {
     note("refused " + std::to_string(later / 1ms), call, static_cast<std::uint32_t>(why));
   }
   void released(CallId call, int cause) override {
     note("released", call, static_cast<std::uint32_t>(cause));
   }
-  void over(CallId call) override { note("over", call); }
+  void ended(CallId call) override { note("over", call); }
 
   [[nodiscard]] std::vector<std::string> notes() const {
     const std::lock_guard hold(lock_);
@@ -103,7 +103,7 @@
     return out;
   }
   void play() {
-    core_.told(true, {{{.server = kEndpoint, .state = ServerState::ready}, "127.0.0.1:1"}});
+    core_.update_offices(true, {{{.server = kEndpoint, .state = ServerState::ready}, "127.0.0.1:1"}});
     report_lines(0.0);
     request(kAnswered, 15s);
     reach(Stage::queued);
@@ -118,7 +118,7 @@
     pass(500ms);
     reach(Stage::sent_again);
     pass(100ms);
-    core_.answered(kEndpoint, kAnswered, "by the endpoint");
+    core_.office_answered(kEndpoint, kAnswered, "by the endpoint");
     settle();
     reach(Stage::standing);
     pass(2s);
@@ -148,15 +148,15 @@
   }
   void request(CallId call, Duration patience) {
     core::Request request;
-    request.told.call = call;
-    request.told.number = CalledNumber{7};
-    request.told.caller_leaves_at = base::now() + patience;
-    request.side = &recorder_;
+    request.arrival.call = call;
+    request.arrival.number = CalledNumber{7};
+    request.arrival.caller_leaves_at = base::now() + patience;
+    request.frontend = &recorder_;
     core_.request(std::move(request));
     settle();
   }
   void report_lines(double free) {
-    core_.reported(kEndpoint, {.free_lines = free, .lines = 1.0});
+    core_.load_reported(kEndpoint, {.free_lines = free, .lines = 1.0});
     settle();
   }
   void pass(Duration span) {
@@ -170,8 +170,8 @@
   void settle() {
     for (int i = 0; i < 2; ++i) {
       std::promise<void> answered;
-      core_.ask(CallId{~std::uint64_t{0}},
-                [&answered](const core::Status& /*status*/) { answered.set_value(); });
+      core_.query(CallId{~std::uint64_t{0}},
+                  [&answered](const core::Status& /*status*/) { answered.set_value(); });
       answered.get_future().wait();
     }
   }
@@ -203,14 +203,14 @@
   EXPECT_EQ(r.when("release", kAnswered), 3s);
   EXPECT_GE(r.when("start", kForgotten), 3s);
   EXPECT_EQ(r.when("give up", kForgotten), 4s);
-  const auto refused = [&r](CallId call, core::Why why) {
+  const auto refused = [&r](CallId call, core::FailureReason why) {
     return r.when("refused 0", call, static_cast<std::uint32_t>(why));
   };
-  EXPECT_EQ(refused(kForgotten, core::Why::attempts_failed), 4s);
+  EXPECT_EQ(refused(kForgotten, core::FailureReason::attempts_failed), 4s);
   EXPECT_GE(r.when("start", kLate), 5100ms);
-  EXPECT_GE(refused(kLate, core::Why::deadline_passed), 5790ms);
-  EXPECT_LE(refused(kLate, core::Why::deadline_passed), 5800ms);
-  EXPECT_EQ(refused(kDrained, core::Why::attempts_failed), 6650ms);
+  EXPECT_GE(refused(kLate, core::FailureReason::deadline_passed), 5790ms);
+  EXPECT_LE(refused(kLate, core::FailureReason::deadline_passed), 5800ms);
+  EXPECT_EQ(refused(kDrained, core::FailureReason::attempts_failed), 6650ms);
 }
 
 TEST_F(CoreSteps, NoStageNoticesAStepOfTheWallClock) {
--- a/tests/clocks/listed_starts_test.cpp
+++ b/tests/clocks/listed_starts_test.cpp
@@ -18,9 +18,9 @@
     for (const OfficeEntry& o : offices) entries[o.entry.server] = o.entry;
   }
   void start(const SetUp& /*set_up*/) override {}
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
   std::map<ServerId, ServerEntry> entries;
 };
 
@@ -43,20 +43,21 @@
   Duration step{};
   Core core{Settings{}, 1};
   Told told;
-  OfficeList list{core, [this] {
-                    return clocks::Reading{now, clocks::WallTime{now.time_since_epoch() + kOffset + step}};
-                  }};
+  OfficeList list{
+      core, [this] {
+        return clocks::ClockReading{now, clocks::WallTime{now.time_since_epoch() + kOffset + step}};
+      }};
 };
 
 TEST_F(ListedStarts, AreAgedOnceAndStayThroughEachStep) {
   const OfficeEntry cold = endpoint(1, 3s);
   const OfficeEntry warm = endpoint(2, 2h);
-  list.told(Source::platform, true, {cold, warm});
+  list.update(Source::platform, true, {cold, warm});
   for (const Duration by : kSteps) {
     step = by;
     now += 1s;
-    list.followed();
-    list.told(Source::platform, true, {cold, warm});
+    list.confirm_current();
+    list.update(Source::platform, true, {cold, warm});
     EXPECT_EQ(now - told.entries.at(ServerId{1}).started_at, now - Time{100h} + 3s);
     EXPECT_EQ(now - told.entries.at(ServerId{2}).started_at, now - Time{100h} + 2h);
     EXPECT_EQ(told.entries.at(ServerId{1}).start, cold.entry.start) << "the process it was";
@@ -64,19 +65,19 @@
 }
 
 TEST_F(ListedStarts, RestartThatAFollowedDiscoveryTellsIsYoungAfterEachStep) {
-  list.told(Source::platform, true, {endpoint(1, 2h)});
+  list.update(Source::platform, true, {endpoint(1, 2h)});
   for (const Duration by : kSteps) {
     step = by;
     now += 60s;
-    list.followed();
-    list.told(Source::platform, false, {endpoint(1, 1s)});
+    list.confirm_current();
+    list.update(Source::platform, false, {endpoint(1, 1s)});
     EXPECT_GE(age(1), 0s);
     EXPECT_LE(age(1), clocks::kMaxDiscoveryDelay);
   }
 }
 
 TEST_F(ListedStarts, EndpointThatRegistersIsAgedToo) {
-  list.told(Source::registered, false, {endpoint(3, 20s)});
+  list.update(Source::registered, false, {endpoint(3, 20s)});
   EXPECT_EQ(age(3), 20s);
 }
 
--- a/tests/clocks/start_times_bounds_test.cpp
+++ b/tests/clocks/start_times_bounds_test.cpp
@@ -12,19 +12,19 @@
 // what it says, also while discovery is followed.
 TEST_F(Clocks, RegisteredEndpointIsAsOldAsItSays) {
   StartTimes times(reading());
-  times.followed(now_);
-  EXPECT_EQ(age(times, entry(1, start_of_age(3h)), 0s, From::endpoint), 3h);
+  times.mark_followed(now_);
+  EXPECT_EQ(age(times, entry(1, start_of_age(3h)), 0s, Origin::endpoint), 3h);
 }
 
 TEST_F(Clocks, RestartOfARegisteredEndpointIsYoungWhateverTheWallClockSays) {
   for (const Duration wrong : kSteps) {
     StartTimes times(reading(wrong));
-    age(times, entry(1, start_of_age(50h)), wrong, From::endpoint);
+    age(times, entry(1, start_of_age(50h)), wrong, Origin::endpoint);
     now_ += 60s;
     age(times, entry(1, start_of_age(50h + 60s)), wrong,
-        From::endpoint);  // told again as its connection ends
+        Origin::endpoint);  // told again as its connection ends
     now_ += 2s;
-    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong, From::endpoint), 2s + kMaxDiscoveryDelay)
+    EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong, Origin::endpoint), 2s + kMaxDiscoveryDelay)
         << wrong / 1s;
   }
 }
@@ -34,14 +34,14 @@
   StartTimes times(reading());
   age(times, entry(1, start_of_age(50h)));
   now_ += 10s;
-  EXPECT_EQ(age(times, entry(1, start_of_age(60s)), 0s, From::endpoint), 60s);
+  EXPECT_EQ(age(times, entry(1, start_of_age(60s)), 0s, Origin::endpoint), 60s);
 }
 
 // Another's clock is no bound for ours: one that registers with a start in the future makes nobody older.
 TEST_F(Clocks, StartsOfOthersBoundNothing) {
   StartTimes times(reading());
-  age(times, entry(1, start_of_age(-10h)), 0s, From::controllers);
-  age(times, entry(2, start_of_age(-10h)), 0s, From::endpoint);
+  age(times, entry(1, start_of_age(-10h)), 0s, Origin::controllers);
+  age(times, entry(2, start_of_age(-10h)), 0s, Origin::endpoint);
   EXPECT_EQ(age(times, entry(3, start_of_age(3s))), 3s);
 }
 
@@ -53,7 +53,7 @@
   std::vector<StartId> starts;
   for (std::size_t i = 0; i < kMaxStartsPerEndpoint; ++i) {
     now_ += 60s;
-    times.followed(now_);
+    times.mark_followed(now_);
     starts.push_back(start_of_age(3s));
     EXPECT_EQ(age(times, entry(1, starts.back())), 3s);
   }
@@ -73,20 +73,20 @@
   for (std::uint32_t id = 0; id < kMaxEndpoints; ++id)
     list.push_back(entry(id, start_of_age(id == 7 ? 9h : 1h + std::chrono::seconds(id))));
   fill(times, list);
-  age(times, entry(kMaxEndpoints, start_of_age(30min)), 0s, From::endpoint);
+  age(times, entry(kMaxEndpoints, start_of_age(30min)), 0s, Origin::endpoint);
   EXPECT_EQ(times.endpoints(), kMaxEndpoints);
   const ServerEntry latest = entry(kMaxEndpoints, start_of_age(30min));
-  EXPECT_EQ(age(times, latest, -10min, From::endpoint), 30min) << "kept, so that no step moves it";
+  EXPECT_EQ(age(times, latest, -10min, Origin::endpoint), 30min) << "kept, so that no step moves it";
   for (const std::uint32_t id : {0U, 1U, 8U, 100U})
     EXPECT_EQ(age(times, list[id], 3600s), 1h + std::chrono::seconds(id)) << "kept as well";
-  EXPECT_EQ(age(times, list[7], -10min, From::endpoint), 9h - 10min) << "forgotten: by the wall clock";
+  EXPECT_EQ(age(times, list[7], -10min, Origin::endpoint), 9h - 10min) << "forgotten: by the wall clock";
 }
 
 TEST_F(Clocks, KeepsABoundedNumberOfEndpoints) {
   StartTimes times(reading());
   const StartId last = start_of_age(1s);
   for (std::uint32_t id = 0; id < kMaxEndpoints + 100; ++id) {
-    times.followed(now_);
+    times.mark_followed(now_);
     age(times, entry(id, StartId{static_cast<std::uint64_t>(last) - kMaxEndpoints - 100 + id}));
   }
   EXPECT_EQ(times.endpoints(), kMaxEndpoints);
--- a/tests/clocks/start_times_fixture.h
+++ b/tests/clocks/start_times_fixture.h
@@ -11,7 +11,7 @@
 namespace reeltack::clocks {
 
 using namespace std::chrono_literals;
-using From = StartTimes::From;
+using Origin = StartTimes::Origin;
 
 inline constexpr Duration kTrueOffset = std::chrono::hours(400'000);  // Unix time at the steady clock's epoch
 inline constexpr Duration kSteps[] = {-1h, -5s, 0s, 5s, 1h};
@@ -19,7 +19,7 @@
 // A machine whose steady clock is right, and whose wall clock is wrong by a step.
 class Clocks : public ::testing::Test {
  protected:
-  [[nodiscard]] Reading reading(Duration wrong_by = 0s) const {
+  [[nodiscard]] ClockReading reading(Duration wrong_by = 0s) const {
     return {now_, WallTime{now_.time_since_epoch() + kTrueOffset + wrong_by}};
   }
   // The Unix time at which a process started that is so old by now.
@@ -35,7 +35,7 @@
   }
   // The age that is taken for it.
   Duration age(StartTimes& times, ServerEntry entry, Duration wrong_by = 0s,
-               From from = From::discovery) const {
+               Origin from = Origin::discovery) const {
     const std::array<ServerEntry*, 1> one{&entry};
     times.fill(from, reading(wrong_by), one);
     return now_ - entry.started_at;
@@ -44,7 +44,7 @@
   void fill(StartTimes& times, std::vector<ServerEntry>& list) const {
     std::vector<ServerEntry*> entries;
     for (ServerEntry& e : list) entries.push_back(&e);
-    times.fill(From::discovery, reading(), entries);
+    times.fill(Origin::discovery, reading(), entries);
   }
   Time now_{100h};
 };
