--- a/tests/clocks/start_times_test.cpp
+++ b/tests/clocks/start_times_test.cpp
@@ -10,11 +10,11 @@
 
 TEST_F(Clocks, StartNotToldIsFromLongAgo) {
   StartTimes times(reading());
-  times.followed(now_);
+  times.mark_followed(now_);
   ServerEntry e = entry(1, StartId{});
   e.started_at = now_;
   const std::array<ServerEntry*, 1> one{&e};
-  times.fill(From::discovery, reading(), one);
+  times.fill(Origin::discovery, reading(), one);
   EXPECT_EQ(e.started_at, Time{});
 }
 
@@ -53,10 +53,10 @@
 TEST_F(Clocks, AgeIsNeverBelowZero) {
   StartTimes times(reading());
   EXPECT_EQ(age(times, entry(1, start_of_age(-20s))), 0s);
-  EXPECT_EQ(age(times, entry(2, start_of_age(-20s)), -1h, From::controllers), 0s);
+  EXPECT_EQ(age(times, entry(2, start_of_age(-20s)), -1h, Origin::controllers), 0s);
   StartTimes unbounded(reading());  // by no start of discovery's
-  EXPECT_EQ(age(unbounded, entry(3, start_of_age(-20s)), 0s, From::controllers), 0s);
-  EXPECT_EQ(age(unbounded, entry(4, start_of_age(10s)), -1h, From::endpoint), 0s);
+  EXPECT_EQ(age(unbounded, entry(3, start_of_age(-20s)), 0s, Origin::controllers), 0s);
+  EXPECT_EQ(age(unbounded, entry(4, start_of_age(10s)), -1h, Origin::endpoint), 0s);
 }
 
 // A start told again, after a step or not, stays when it was; so does the one before it.
@@ -68,9 +68,9 @@
     EXPECT_EQ(age(times, entry(1, old)), 20s);
     EXPECT_EQ(age(times, entry(1, fresh)), 2s);
     now_ += 30s;
-    times.followed(now_);
+    times.mark_followed(now_);
     EXPECT_EQ(age(times, entry(1, fresh), step), 32s);
-    EXPECT_EQ(age(times, entry(1, old), step, From::controllers), 50s);
+    EXPECT_EQ(age(times, entry(1, old), step, Origin::controllers), 50s);
     EXPECT_EQ(age(times, entry(1, fresh), -step), 32s);
   }
 }
@@ -82,7 +82,7 @@
     StartTimes times(reading(wrong));
     age(times, entry(1, start_of_age(50h)), wrong);
     now_ += 60s;
-    times.followed(now_);
+    times.mark_followed(now_);
     EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << wrong / 1s;
     EXPECT_LE(age(times, entry(2, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << "of one not known before";
   }
@@ -92,7 +92,7 @@
 TEST_F(Clocks, RestartMissedWhileDiscoveryWasAwayIsNoOlderThanThat) {
   StartTimes times(reading(1h));
   age(times, entry(1, start_of_age(50h)), 1h);
-  times.followed(now_);
+  times.mark_followed(now_);
   now_ += 100s;
   EXPECT_EQ(age(times, entry(1, start_of_age(90s)), 1h), 100s + kMaxDiscoveryDelay);
 }
@@ -101,8 +101,8 @@
 TEST_F(Clocks, OlderStartIsNoRestart) {
   StartTimes times(reading());
   age(times, entry(1, start_of_age(10s)));
-  times.followed(now_);
-  EXPECT_EQ(age(times, entry(1, start_of_age(50s)), 0s, From::controllers), 50s);
+  times.mark_followed(now_);
+  EXPECT_EQ(age(times, entry(1, start_of_age(50s)), 0s, Origin::controllers), 50s);
 }
 
 // An hour behind: without a bound all of them would look as just started.
@@ -112,16 +112,16 @@
   ServerEntry middle = entry(2, start_of_age(10min));
   ServerEntry old = entry(3, start_of_age(50min));
   const std::array<ServerEntry*, 3> all{&old, &middle, &young};  // the newest is not the first
-  times.fill(From::discovery, reading(-1h), all);
+  times.fill(Origin::discovery, reading(-1h), all);
   EXPECT_EQ(now_ - young.started_at, 0s);
   EXPECT_EQ(now_ - middle.started_at, 10min - 5s);
   EXPECT_EQ(now_ - old.started_at, 50min - 5s);
   // The bound holds on: what is heard later is aged by it too.
   now_ += 20s;
-  EXPECT_EQ(age(times, entry(4, start_of_age(30min)), -1h, From::endpoint), 30min - 5s);
+  EXPECT_EQ(age(times, entry(4, start_of_age(30min)), -1h, Origin::endpoint), 30min - 5s);
   // A later list of older ones alone does not take it back.
   age(times, old, -1h);
-  EXPECT_EQ(age(times, entry(5, start_of_age(20min)), -1h, From::endpoint), 20min - 5s);
+  EXPECT_EQ(age(times, entry(5, start_of_age(20min)), -1h, Origin::endpoint), 20min - 5s);
 }
 
 // Discovery's first list is that of our own start. What it names later has started since, also before it was
@@ -134,7 +134,7 @@
     const Duration most = 100s + kMaxDiscoveryDelay;
     EXPECT_LE(age(times, entry(1, start_of_age(90s)), wrong), most) << "a restart";
     EXPECT_LE(age(times, entry(2, start_of_age(80s)), wrong), most) << "a new endpoint";
-    EXPECT_LE(age(times, entry(3, start_of_age(80s)), wrong, From::controllers), most);
+    EXPECT_LE(age(times, entry(3, start_of_age(80s)), wrong, Origin::controllers), most);
   }
 }
 
@@ -142,7 +142,7 @@
 TEST_F(Clocks, FirstListIsNotTakenForYoungHoweverLateItComes) {
   StartTimes times(reading());
   now_ += 100s;
-  EXPECT_EQ(age(times, entry(1, start_of_age(50h)), 0s, From::controllers), 50h) << "not discovery's";
+  EXPECT_EQ(age(times, entry(1, start_of_age(50h)), 0s, Origin::controllers), 50h) << "not discovery's";
   std::vector<ServerEntry> list{entry(1, start_of_age(50h)), entry(2, start_of_age(40h))};
   fill(times, list);
   EXPECT_EQ(now_ - list[0].started_at, 50h);
--- a/tests/core/release_guard_test.cpp
+++ b/tests/core/release_guard_test.cpp
@@ -28,13 +28,13 @@
     sent_again_ = Steady::now();
     changed_.notify_all();
   }
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {
     std::this_thread::sleep_for(kHeldUp);
     const std::lock_guard hold(lock_);
     given_up_ = Steady::now();
   }
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
 
   // From the release of the first attempt to the second attempt; none: it was not made.
   std::optional<Steady::duration> await_gap() {
@@ -54,10 +54,10 @@
 
 class AnyCaller final : public core::CallerFrontend {
  public:
-  bool stands(CallId /*call*/, const std::string& /*description*/) override { return true; }
-  void refused(CallId /*call*/, core::Why /*why*/, Duration /*later*/) override {}
+  bool established(CallId /*call*/, const std::string& /*description*/) override { return true; }
+  void rejected(CallId /*call*/, core::FailureReason /*why*/, Duration /*later*/) override {}
   void released(CallId /*call*/, int /*cause*/) override {}
-  void over(CallId /*call*/) override {}
+  void ended(CallId /*call*/) override {}
 };
 
 // The guard counts from when the endpoint has been told of the release, not from when that was decided.
@@ -73,12 +73,12 @@
   std::vector<core::OfficeEntry> list;
   for (const std::uint32_t id : {1U, 2U})
     list.push_back({{.server = ServerId{id}, .place = 0, .state = ServerState::ready}, "127.0.0.1:1"});
-  core.told(true, list);
+  core.update_offices(true, list);
   core::Request request;
-  request.told.call = CallId{7};
-  request.told.number = CalledNumber{7};
-  request.told.caller_leaves_at = base::now() + 20s;
-  request.side = &caller;
+  request.arrival.call = CallId{7};
+  request.arrival.number = CalledNumber{7};
+  request.arrival.caller_leaves_at = base::now() + 20s;
+  request.frontend = &caller;
   core.request(std::move(request));
   const auto gap = endpoints.await_gap();
   core.stop();
--- a/tests/crossings/caller_close_test.cpp
+++ b/tests/crossings/caller_close_test.cpp
@@ -53,7 +53,7 @@
   caller.step();
   caller.step();
   settle(*core_);
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kQueued), 0U);
   EXPECT_EQ(core_->open_calls(), 0U);
@@ -74,7 +74,7 @@
   settle_at(*core_, base::now() + 30ms);
   leave(caller, 2);
   ASSERT_TRUE(await_left(caller));
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kQueued), 0U);
   EXPECT_EQ(core_->open_calls(), 0U);
@@ -140,7 +140,7 @@
   occupy_endpoint(caller, 1);
   leave(caller, 1);
   ASSERT_TRUE(await_left(caller));
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   settle(*core_);
   EXPECT_EQ(endpoints_.released(kCall), 1U);
   EXPECT_EQ(core_->in_flight(), 0U);
@@ -166,7 +166,7 @@
   occupy_endpoint(caller, 1);
   caller.far.send("CANCEL " + id_text(1));
   ASSERT_TRUE(caller.await_message_in_kernel());
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   caller.step();
   settle(*core_);
@@ -182,7 +182,7 @@
   run_sip(usual_settings());
   SipCaller& caller = connect();
   occupy_endpoint(caller, 1);
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   settle(*core_);
   expect_message(caller, {"200", "INVITE"});
   caller.far.send("BYE " + id_text(1));
--- a/tests/crossings/caller_releases_test.cpp
+++ b/tests/crossings/caller_releases_test.cpp
@@ -23,10 +23,12 @@
  public:
   explicit AnsweringEndpoint(std::unique_ptr<core::Core>& core) : core_(core) {}
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
-  void start(const core::SetUp& set_up) override { core_->answered(set_up.office, set_up.call, "sdp"); }
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void start(const core::SetUp& set_up) override {
+    core_->office_answered(set_up.office, set_up.call, "sdp");
+  }
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
 
  private:
   std::unique_ptr<core::Core>& core_;
@@ -46,7 +48,7 @@
     core_->start(endpoint_, front_.get());
     core::OfficeEntry entry{{.server = kEndpoint, .place = 0, .state = ServerState::ready}, "127.0.0.1:9"};
     entry.entry.capacity = 1.0;
-    core_->told(false, {entry});
+    core_->update_offices(false, {entry});
   }
   void TearDown() override {
     front_->close_all();
@@ -90,9 +92,9 @@
   }
   // And the core has passed it on.
   void endpoint_releases(CallId call = kCall) {
-    core_->ended({kEndpoint, call, 16, "", {}});
+    core_->office_released({kEndpoint, call, 16, "", {}});
     std::promise<void> passed;
-    core_->ask(call, [&passed](const core::Status& /*status*/) { passed.set_value(); });
+    core_->query(call, [&passed](const core::Status& /*status*/) { passed.set_value(); });
     passed.get_future().wait();
   }
   // The caller asks and asks and reads nothing, until nothing more is taken of it for `quiet`: the front
--- a/tests/crossings/core_crossings_test.cpp
+++ b/tests/crossings/core_crossings_test.cpp
@@ -5,7 +5,7 @@
 namespace reeltack::test {
 namespace {
 
-using core::Why;
+using core::FailureReason;
 
 constexpr CallId kCall{1};
 constexpr CallId kNext{2};
@@ -18,9 +18,9 @@
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));
   request(kNext, 8s);
-  core_->give_up(kNext, callers_);
-  EXPECT_EQ(callers_.await_answer(kNext).why, Why::given_up);
-  core_->answered(kFirst, kCall, "d");
+  core_->cancel(kNext, callers_);
+  EXPECT_EQ(callers_.await_answer(kNext).why, FailureReason::cancelled);
+  core_->office_answered(kFirst, kCall, "d");
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kNext), 0U);
@@ -35,9 +35,9 @@
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));  // the core is held
   request(kNext, 8s);
-  core_->give_up(kNext, callers_);
+  core_->cancel(kNext, callers_);
   endpoints_.hold(false);
-  EXPECT_EQ(callers_.await_answer(kNext).why, Why::given_up);
+  EXPECT_EQ(callers_.await_answer(kNext).why, FailureReason::cancelled);
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kNext), 0U);
   EXPECT_EQ(callers_.answers_to(kNext).size(), 1U);
@@ -54,9 +54,9 @@
   settle(*core_);
   settle_at(*core_, base::now() + 30ms);  // it has waited for longer than what is sent without asking
   callers_.waiting_ = false;
-  core_->answered(kFirst, kCall, "d");
-  EXPECT_EQ(callers_.await_answer(kNext).why, Why::given_up);
-  core_->give_up(kNext, callers_);  // noticed now
+  core_->office_answered(kFirst, kCall, "d");
+  EXPECT_EQ(callers_.await_answer(kNext).why, FailureReason::cancelled);
+  core_->cancel(kNext, callers_);  // noticed now
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kNext), 0U);
   EXPECT_EQ(callers_.answers_to(kNext).size(), 1U);
@@ -71,9 +71,9 @@
   endpoints_.hold(true);
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));  // chosen, and not yet written
-  core_->give_up(kCall, callers_);
+  core_->cancel(kCall, callers_);
   endpoints_.hold(false);
-  EXPECT_EQ(callers_.await_answer(kCall).why, Why::given_up);
+  EXPECT_EQ(callers_.await_answer(kCall).why, FailureReason::cancelled);
   settle(*core_);
   EXPECT_EQ(endpoints_.given_up(kCall), 1U);
   EXPECT_EQ(endpoints_.starts(), 1U);
@@ -88,9 +88,9 @@
     const CallId call{answer_first ? 1U : 2U};
     request(call, 8s);
     ASSERT_TRUE(endpoints_.await_starts(answer_first ? 1 : 2));
-    if (answer_first) core_->answered(kFirst, call, "d");
-    core_->give_up(call, callers_);
-    if (!answer_first) core_->answered(kFirst, call, "d");
+    if (answer_first) core_->office_answered(kFirst, call, "d");
+    core_->cancel(call, callers_);
+    if (!answer_first) core_->office_answered(kFirst, call, "d");
     endpoints_.hold(false);
     EXPECT_EQ(callers_.await_answer(call).stands, answer_first);
     settle(*core_);
@@ -108,8 +108,8 @@
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));
   callers_.in_reach_ = false;
-  core_->answered(kFirst, kCall, "d");
-  core_->give_up(kCall, callers_);
+  core_->office_answered(kFirst, kCall, "d");
+  core_->cancel(kCall, callers_);
   settle(*core_);
   EXPECT_EQ(endpoints_.released(kCall), 1U);
   EXPECT_EQ(endpoints_.given_up(kCall), 0U);
@@ -125,13 +125,13 @@
     const std::size_t before = endpoints_.starts();
     request(call, 8s);
     ASSERT_TRUE(endpoints_.await_starts(before + 1));
-    core_->answered(kFirst, call, "d");
+    core_->office_answered(kFirst, call, "d");
     ASSERT_TRUE(callers_.await_answer(call).stands);
     endpoints_.hold(true);
     request(CallId{99}, 8s);
     ASSERT_TRUE(endpoints_.await_starts(before + 2));
     if (caller_first) core_->release(call, callers_);
-    core_->ended({kFirst, call, core::kNormalClearing, "", {}});
+    core_->office_released({kFirst, call, core::kNormalClearing, "", {}});
     if (!caller_first) core_->release(call, callers_);
     endpoints_.hold(false);
     settle(*core_);
@@ -147,8 +147,8 @@
   endpoints_.hold(true);
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "d");
-  core_->ended({kFirst, kCall, core::kNormalClearing, "", {}});
+  core_->office_answered(kFirst, kCall, "d");
+  core_->office_released({kFirst, kCall, core::kNormalClearing, "", {}});
   endpoints_.hold(false);
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   settle(*core_);
@@ -174,7 +174,8 @@
   EXPECT_FALSE(callers_.await_answer(kCall).stands);
   EXPECT_FALSE(callers_.await_answer(kNext).stands);
   EXPECT_FALSE(callers_.await_answer(CallId{3}).stands);
-  core_->answered(broke, kCall, "late");  // the attempt was given up before: whoever answers it is released
+  core_->office_answered(broke, kCall,
+                         "late");  // the attempt was given up before: whoever answers it is released
   settle_at(*core_, base::now() + kGuard + 100ms);
   for (const CallId call : {kCall, kNext, CallId{3}}) EXPECT_EQ(callers_.answers_to(call).size(), 1U);
   EXPECT_EQ(endpoints_.starts(), sent);
--- a/tests/crossings/core_rig.h
+++ b/tests/crossings/core_rig.h
@@ -61,13 +61,13 @@
     progress_.change([&] { started_.push_back(set_up); });
     progress_.await([&] { return !held_; });
   }
-  void give_up(ServerId endpoint, CallId call, std::uint32_t /*attempt*/) override {
+  void cancel(ServerId endpoint, CallId call, std::uint32_t /*attempt*/) override {
     progress_.change([&] { given_up_.push_back({endpoint, call}); });
   }
   void release(ServerId endpoint, CallId call) override {
     progress_.change([&] { released_.push_back({endpoint, call}); });
   }
-  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*endpoint*/, bool /*calls_established*/) override {}
 
   void hold(bool on) {
     progress_.change([&] { held_ = on; });
@@ -112,20 +112,20 @@
   struct Answer {
     CallId call;
     bool stands;
-    core::Why why;
+    core::FailureReason why;
   };
-  bool stands(CallId call, const std::string& /*description*/) override {
-    progress_.change([&] { answers_.push_back({call, true, core::Why::none}); });
+  bool established(CallId call, const std::string& /*description*/) override {
+    progress_.change([&] { answers_.push_back({call, true, core::FailureReason::none}); });
     return in_reach_;
   }
-  void refused(CallId call, core::Why why, Duration /*later*/) override {
+  void rejected(CallId call, core::FailureReason why, Duration /*later*/) override {
     progress_.change([&] { answers_.push_back({call, false, why}); });
   }
   void released(CallId call, int /*cause*/) override {
     progress_.change([&] { released_.push_back(call); });
   }
-  void over(CallId /*call*/) override {}
-  bool waits(CallId /*call*/) override { return waiting_; }
+  void ended(CallId /*call*/) override {}
+  bool still_waiting(CallId /*call*/) override { return waiting_; }
 
   std::vector<Answer> answers_to(CallId call) {
     return progress_.read([&] {
@@ -141,7 +141,7 @@
       return std::any_of(answers_.begin(), answers_.end(), [&](const Answer& a) { return a.call == call; });
     });
     EXPECT_TRUE(came) << "no answer to call " << static_cast<std::uint64_t>(call);
-    return came ? answers_to(call).front() : Answer{call, false, core::Why::none};
+    return came ? answers_to(call).front() : Answer{call, false, core::FailureReason::none};
   }
   std::size_t releases(CallId call) {
     return progress_.read(
@@ -169,14 +169,14 @@
 inline void settle(core::Core& core) {
   for (int pass = 0; pass < 2; ++pass) {
     std::promise<void> reached;
-    core.ask(CallId{}, [&](const core::Status&) { reached.set_value(); });
+    core.query(CallId{}, [&](const core::Status&) { reached.set_value(); });
     ASSERT_EQ(reached.get_future().wait_for(kBound), std::future_status::ready);
   }
 }
 // Waits until the core's own clock has passed `at`, with all that is due by then done.
 inline void settle_at(core::Core& core, Time at) {
   std::promise<void> reached;
-  core.at(at, [&] { reached.set_value(); });
+  core.run_at(at, [&] { reached.set_value(); });
   ASSERT_EQ(reached.get_future().wait_for(kBound), std::future_status::ready);
   settle(core);
 }
@@ -198,15 +198,15 @@
     std::vector<core::OfficeEntry> entries;
     for (const ServerId id : endpoints)
       entries.push_back({{.server = id, .place = 0, .state = state}, "127.0.0.1:1"});
-    core_->told(false, entries);
+    core_->update_offices(false, entries);
   }
   void request(CallId call, Duration left) {
     core::Request request;
-    request.told.call = call;
-    request.told.number = CalledNumber{static_cast<std::uint64_t>(call)};
-    request.told.caller_leaves_at = base::now() + left;
+    request.arrival.call = call;
+    request.arrival.number = CalledNumber{static_cast<std::uint64_t>(call)};
+    request.arrival.caller_leaves_at = base::now() + left;
     request.description = "d";
-    request.side = &callers_;
+    request.frontend = &callers_;
     core_->request(std::move(request));
   }
   FakeEndpoints endpoints_;
--- a/tests/crossings/discovery_moves_test.cpp
+++ b/tests/crossings/discovery_moves_test.cpp
@@ -34,7 +34,7 @@
   for (int i = 0; i < 4; ++i) queued.push_back(net::dial_begin(old.address, how));
   while (net::dial_state(queued.front()) == net::Dial::pending) net::pause_until(net::now() + 1ms);
   const std::size_t before = connecting_to(old.address);
-  begin(old, 3, {.connect = 10min, .max_connect_timeout = 10min});
+  begin(old, 3, {.connect_timeout = 10min, .max_connect_timeout = 10min});
   const Time by = net::now() + 20s;
   while (connecting_to(old.address) <= before && net::now() < by) net::pause_until(net::now() + 5ms);
   ASSERT_GT(connecting_to(old.address), before);
--- a/tests/crossings/discovery_world.h
+++ b/tests/crossings/discovery_world.h
@@ -29,9 +29,9 @@
     changed_.notify_all();
   }
   void start(const core::SetUp& /*set_up*/) override {}
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
   bool await(ServerId endpoint, ServerState state) {
     std::unique_lock hold(lock_);
     return changed_.wait_for(hold, 20s, [&] {
@@ -116,7 +116,7 @@
   }
   // Soon taken for silent, and kept beside the next one for longer than the test lasts.
   void watch_impatiently(const FakeDiscovery& discovery) {
-    begin(discovery, 0, {.silence = 500ms, .slow = 10min});
+    begin(discovery, 0, {.silence = 500ms, .overlap = 10min});
   }
   static void say(const net::Fd& to, const std::string& bytes) { EXPECT_TRUE(net::write_all(to, bytes)); }
   static bool closed(const net::Fd& connection) {  // by the watch, within 20 s
--- a/tests/crossings/endpoint_answers_test.cpp
+++ b/tests/crossings/endpoint_answers_test.cpp
@@ -93,7 +93,7 @@
   EXPECT_TRUE(is(line(connection), "FINISH", kCall)) << "the answer that crossed is released";
   ASSERT_TRUE(callers_.await(kCall, 1));
   EXPECT_EQ(callers_.events(kCall),
-            Events{"ended " + std::to_string(static_cast<int>(core::Why::deadline_passed))});
+            Events{"ended " + std::to_string(static_cast<int>(core::FailureReason::deadline_passed))});
 }
 
 // Our giving up crosses the endpoint's own end: nothing more is said of the call, on either side.
@@ -102,13 +102,14 @@
   const net::Fd connection = connected(endpoint);
   request(kCall);
   ASSERT_TRUE(is(line(connection), "START", kCall));
-  core_->give_up(kCall, callers_);
+  core_->cancel(kCall, callers_);
   ASSERT_TRUE(is(line(connection), "FINISH", kCall));
   say(connection, end_line(kCall, 41));
   turn();
   EXPECT_EQ(lines_until_now(endpoint, connection), Events{});
   ASSERT_TRUE(callers_.await(kCall, 1));
-  EXPECT_EQ(callers_.events(kCall), Events{"ended " + std::to_string(static_cast<int>(core::Why::given_up))});
+  EXPECT_EQ(callers_.events(kCall),
+            Events{"ended " + std::to_string(static_cast<int>(core::FailureReason::cancelled))});
 }
 
 // The caller gives up, and the endpoint's answer crosses: it is released, and the caller has one end.
@@ -117,7 +118,7 @@
   const net::Fd connection = connected(endpoint);
   request(kCall);
   ASSERT_TRUE(is(line(connection), "START", kCall));
-  core_->give_up(kCall, callers_);
+  core_->cancel(kCall, callers_);
   ASSERT_TRUE(is(line(connection), "FINISH", kCall));
   say(connection, started_line(kCall));
   turn();
--- a/tests/crossings/endpoint_connections_test.cpp
+++ b/tests/crossings/endpoint_connections_test.cpp
@@ -100,7 +100,7 @@
   tell(endpoint, ServerState::ready);
   request(kCall);
   ASSERT_TRUE(links_.await_start(endpoint.id, kCall));
-  core_->give_up(kCall, callers_);
+  core_->cancel(kCall, callers_);
   ASSERT_TRUE(callers_.await(kCall, 1));
   endpoint.held = false;
   const net::Fd late = accept(endpoint);
@@ -187,7 +187,7 @@
   FakeEndpoint& first = add(1);
   FakeEndpoint& second = add(2);
   core::OfficeList list(*core_);
-  list.told(core::Source::platform, true, {entry(first, ServerState::ready)});
+  list.update(core::Source::platform, true, {entry(first, ServerState::ready)});
   const net::Fd connection = accept(first);
   request(kCall);
   ASSERT_TRUE(is(line(connection), "START", kCall));
@@ -196,7 +196,7 @@
   ASSERT_TRUE(callers_.await(kCall, 1));
   request(kOther);
   ASSERT_TRUE(is(line(connection), "START", kOther));
-  list.told(core::Source::platform, true, {entry(second, ServerState::ready)});
+  list.update(core::Source::platform, true, {entry(second, ServerState::ready)});
   const net::Fd other = accept(second);
   EXPECT_TRUE(is(line(other), "START", kOther));
   ASSERT_TRUE(callers_.await(kCall, 2));
--- a/tests/crossings/endpoint_world.h
+++ b/tests/crossings/endpoint_world.h
@@ -38,14 +38,14 @@
 // The core's callers: each event is kept, in order.
 class FakeCallers final : public core::CallerFrontend {
  public:
-  bool stands(CallId call, const std::string& description) override {
+  bool established(CallId call, const std::string& description) override {
     return note("stands " + description, call), true;
   }
-  void refused(CallId call, core::Why why, Duration /*later*/) override {
+  void rejected(CallId call, core::FailureReason why, Duration /*later*/) override {
     note("ended " + std::to_string(static_cast<int>(why)), call);
   }
   void released(CallId call, int cause) override { note("released " + std::to_string(cause), call); }
-  void over(CallId call) override { note("over", call); }
+  void ended(CallId call) override { note("over", call); }
 
   std::vector<std::string> events(CallId call) {
     const std::lock_guard hold(lock_);
@@ -89,11 +89,13 @@
     started_.emplace_back(set_up.office, set_up.call);
     changed_.notify_all();
   }
-  void give_up(ServerId office, CallId call, std::uint32_t attempt) override {
+  void cancel(ServerId office, CallId call, std::uint32_t attempt) override {
     of(office).give_up(call, attempt);
   }
   void release(ServerId office, CallId call) override { of(office).release(call); }
-  void keep(ServerId office, bool calls_established) override { of(office).keep(calls_established); }
+  void keep_connection(ServerId office, bool calls_established) override {
+    of(office).keep(calls_established);
+  }
 
   // The core has handed the call to the link there, which has written it if it could.
   bool await_start(ServerId office, CallId call) {
@@ -148,7 +150,7 @@
   }
   // To the link and the core, as discovery does.
   void tell(const FakeEndpoint& endpoint, ServerState state, StartId start = {}) {
-    core_->told(false, {entry(endpoint, state, start)});
+    core_->update_offices(false, {entry(endpoint, state, start)});
   }
   // One endpoint that is listed, with its first connection.
   net::Fd connected(FakeEndpoint& endpoint) {
@@ -209,11 +211,11 @@
   static constexpr std::uint32_t kOnce = 1;  // fails where an attempt may have run
   void request(CallId call, Duration patience = 9s, std::uint32_t call_class = kRepeatable) {
     core::Request request;
-    request.told.call_class = call_class;
-    request.told.call = call;
-    request.told.caller_leaves_at = net::now() + patience;
+    request.arrival.call_class = call_class;
+    request.arrival.call = call;
+    request.arrival.caller_leaves_at = net::now() + patience;
     request.description = "offer";
-    request.side = &callers_;
+    request.frontend = &callers_;
     core_->request(std::move(request));
   }
   static core::SetUp set_up(const FakeEndpoint& endpoint, CallId call, std::uint32_t attempt = 0) {
--- a/tests/crossings/last_releases_test.cpp
+++ b/tests/crossings/last_releases_test.cpp
@@ -86,7 +86,7 @@
     core::OfficeEntry entry{{.server = ServerId{1}, .place = 0, .state = ServerState::ready},
                             net::to_text({host, port})};
     entry.entry.capacity = 1.0;
-    core_->told(true, {entry});
+    core_->update_offices(true, {entry});
     endpoint_ = net::accept_one(listening_, net::now() + 10s);
     caller_ = net::dial(front_at, net::now() + 10s).fd;
     ASSERT_TRUE(endpoint_ && caller_);
@@ -126,7 +126,7 @@
   const Time at = net::now();
   base::Thread ending([this, at] {
     shut_down(*core_, *offices_, *front_, nullptr,
-              {.close_idle = at,
+              {.close_idle_at = at,
                .refuse_remaining_at = at + 60s,
                .offices_deadline = at + 60s,
                .offices_close_timeout = 60s,
--- a/tests/crossings/one_read_test.cpp
+++ b/tests/crossings/one_read_test.cpp
@@ -56,7 +56,7 @@
     caller.step();
     return endpoints_.starts() == 1;
   }));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   expect_message(caller, {"SIP/2.0 400"});
   expect_message(caller, {"SIP/2.0 400", "0000000000000007"});
   expect_message(caller, {"SIP/2.0 400", "nonsense"});
@@ -79,7 +79,7 @@
   EXPECT_FALSE(caller.near->listens());  // no release of another call is spent on it
   caller.far.raw("more of it");          // dropped
   caller.step();
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   expect_message(caller, {"SIP/2.0 200", id_text(1), "by a"});
   caller.step();
@@ -123,7 +123,7 @@
 };
 
 TEST_F(SameInviteTwice, IsOneCallWithOneAnswer) {
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   expect_message(*second_, {"SIP/2.0 200", id_text(1), "by a"});
   expect_nothing(*first_);
@@ -137,7 +137,7 @@
   close(*first_);
   settle(*core_);
   EXPECT_EQ(endpoints_.given_up(kCall), 0U);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   expect_message(*second_, {"SIP/2.0 200", id_text(1)});
 }
 
@@ -145,14 +145,14 @@
   close(*second_);
   settle(*core_);
   EXPECT_EQ(endpoints_.given_up(kCall), 0U);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   expect_message(*first_, {"SIP/2.0 200", id_text(1)});
 }
 
 TEST_F(SameInviteTwice, SecondHasClosedUnnoticedAndTheFirstIsAnswered) {
   second_->far.close();
   ASSERT_TRUE(second_->await_close_in_kernel());
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   expect_message(*first_, {"SIP/2.0 200", id_text(1)});
   EXPECT_EQ(endpoints_.released(kCall), 0U);
 }
--- a/tests/crossings/partial_answer_test.cpp
+++ b/tests/crossings/partial_answer_test.cpp
@@ -20,7 +20,7 @@
     SipCaller& caller = connect();
     occupy_endpoint(caller, 1);
     fill(caller);
-    core_->answered(kFirst, kCall, "by a");
+    core_->office_answered(kFirst, kCall, "by a");
     settle(*core_);
     EXPECT_EQ(core_->in_flight(), 1U);
     return caller;
--- a/tests/crossings/release_after_close_test.cpp
+++ b/tests/crossings/release_after_close_test.cpp
@@ -16,7 +16,7 @@
     SipCaller& caller = connect();
     caller.send(invite(1));
     EXPECT_TRUE(endpoints_.await_starts(1));
-    core_->answered(kFirst, kCall, "d");
+    core_->office_answered(kFirst, kCall, "d");
     settle(*core_);
     caller.step();
     expect_message(caller, {"SIP/2.0 200", id_text(1)});
--- a/tests/crossings/retry_test.cpp
+++ b/tests/crossings/retry_test.cpp
@@ -4,7 +4,7 @@
 namespace reeltack::test {
 namespace {
 
-using core::Why;
+using core::FailureReason;
 
 constexpr CallId kCall{1};
 
@@ -42,8 +42,8 @@
 class RetryAfter : public RetryCrossings, public ::testing::WithParamInterface<AttemptOutcome> {};
 TEST_P(RetryAfter, CallerThatLeavesDuringTheWaitIsNotRetried) {
   first_attempt_ended(8s, GetParam());
-  core_->give_up(kCall, callers_);
-  EXPECT_EQ(callers_.await_answer(kCall).why, Why::given_up);
+  core_->cancel(kCall, callers_);
+  EXPECT_EQ(callers_.await_answer(kCall).why, FailureReason::cancelled);
   expect_no_retry();
   EXPECT_EQ(endpoints_.given_up(kCall), 1U);  // the attempt, once, when it ended
 }
@@ -54,7 +54,7 @@
 TEST_F(RetryCrossings, CallerGoneUnnoticedAtTheRetryIsNotRetried) {
   first_attempt_ended(8s, AttemptOutcome::reset);
   callers_.waiting_ = false;
-  EXPECT_EQ(callers_.await_answer(kCall).why, Why::given_up);
+  EXPECT_EQ(callers_.await_answer(kCall).why, FailureReason::cancelled);
   expect_no_retry();
 }
 
@@ -86,11 +86,11 @@
   ASSERT_TRUE(endpoints_.await_starts(2));
   const ServerId now = endpoints_.start_of(1).office;
   ASSERT_NE(before, now);
-  core_->answered(before, kCall, "late");
+  core_->office_answered(before, kCall, "late");
   settle(*core_);
   EXPECT_EQ(endpoints_.released(kCall), 1U);
   EXPECT_TRUE(callers_.answers_to(kCall).empty());
-  core_->answered(now, kCall, "d");
+  core_->office_answered(now, kCall, "d");
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   EXPECT_EQ(endpoints_.released(kCall), 1U);
 }
@@ -104,13 +104,13 @@
   ASSERT_TRUE(endpoints_.await_starts(1));
   const ServerId full = endpoints_.start_of(0).office;
   constexpr int kFull = 34;
-  core_->ended({full, kCall, kFull, "blocked", {}});
+  core_->office_released({full, kCall, kFull, "blocked", {}});
   core_->attempt_failed(kCall, 0, AttemptOutcome::reset);
   endpoints_.hold(false);
   ASSERT_TRUE(endpoints_.await_starts(2));
   EXPECT_NE(endpoints_.start_of(1).office, full);
   core_->attempt_failed(kCall, 0, AttemptOutcome::reset);  // late: it is not of the attempt that is out now
-  core_->answered(endpoints_.start_of(1).office, kCall, "d");
+  core_->office_answered(endpoints_.start_of(1).office, kCall, "d");
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   settle(*core_);
   EXPECT_EQ(endpoints_.starts(), 2U);
@@ -124,7 +124,7 @@
   for (const Duration left : {Duration{-5ms}, Duration{0ms}, Duration{1ms}, Duration{7ms}}) {
     const CallId call{id++};
     request(call, left);
-    EXPECT_EQ(callers_.await_answer(call).why, Why::deadline_passed);
+    EXPECT_EQ(callers_.await_answer(call).why, FailureReason::deadline_passed);
     settle(*core_);
     EXPECT_EQ(callers_.answers_to(call).size(), 1U);
   }
@@ -152,8 +152,8 @@
   request(kCall, 8s);
   ASSERT_TRUE(endpoints_.await_starts(1));
   request(kCall, 8s);
-  EXPECT_EQ(callers_.await_answer(kCall).why, Why::duplicate);
-  core_->answered(endpoints_.start_of(0).office, kCall, "d");
+  EXPECT_EQ(callers_.await_answer(kCall).why, FailureReason::duplicate);
+  core_->office_answered(endpoints_.start_of(0).office, kCall, "d");
   settle(*core_);
   EXPECT_EQ(callers_.answers_to(kCall).size(), 2U);
   EXPECT_TRUE(callers_.answers_to(kCall).back().stands);
--- a/tests/crossings/websocket_drop_test.cpp
+++ b/tests/crossings/websocket_drop_test.cpp
@@ -24,7 +24,7 @@
     settle(*core_);
     EXPECT_EQ(core_->open_calls(), 1U);
     EXPECT_EQ(endpoints_.released(call), 0U);
-    core_->answered(endpoint, call, "by a");
+    core_->office_answered(endpoint, call, "by a");
     settle(*core_);
     expect_kept(call);
   }
@@ -52,7 +52,7 @@
   expect_message(client, {"taken"});
   settle(*core_);
   drop_noticed(client);
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   ASSERT_TRUE(endpoints_.await_starts(2));
   holder.send(about("release", kCall));
   expect_goes_on(kQueued, kFirst);
@@ -111,7 +111,7 @@
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
   drop_unnoticed(client);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   ASSERT_TRUE(client.await_over());
   expect_kept(kCall);
@@ -122,10 +122,10 @@
   run_clients(usual_settings());
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   drop_unnoticed(client);
-  core_->ended({kFirst, kCall, core::kNormalClearing, "", {}});
+  core_->office_released({kFirst, kCall, core::kNormalClearing, "", {}});
   settle(*core_);
   ASSERT_TRUE(client.await_over());
   expect_status(kCall, "over");
@@ -145,7 +145,7 @@
   other.near->close(true);
   other.step();
   ASSERT_FALSE(other.over);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   expect_message(other, {"answer", "stands", "by a"});
   EXPECT_TRUE(other.await_over());
--- a/tests/crossings/websocket_endpoint_test.cpp
+++ b/tests/crossings/websocket_endpoint_test.cpp
@@ -81,7 +81,7 @@
   const std::string started = frame(about("started", kCall, R"(,"description":"d")"));
   endpoint.far.raw(started);
   ASSERT_TRUE(endpoint.await_in_kernel(started.size()));
-  core_->give_up(kCall, callers_);
+  core_->cancel(kCall, callers_);
   settle(*core_);
   endpoint.step();
   settle(*core_);
@@ -99,7 +99,7 @@
   let_stand(endpoint, kCall);
   request(kOther, 8s);
   settle(*core_);
-  core_->give_up(kOther, callers_);
+  core_->cancel(kOther, callers_);
   settle(*core_);
   endpoint.step();
   EXPECT_FALSE(endpoint.over);
--- a/tests/crossings/websocket_give_up_test.cpp
+++ b/tests/crossings/websocket_give_up_test.cpp
@@ -30,7 +30,7 @@
   settle(*core_);
   give_up(client, kQueued);
   settle(*core_);
-  core_->answered(kFirst, kCall, "d");
+  core_->office_answered(kFirst, kCall, "d");
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kQueued), 0U);
   expect_given_up(client, kQueued);
@@ -97,7 +97,7 @@
   const std::string give_up_frame = frame(about("give-up", kCall));
   client.far.raw(give_up_frame);
   ASSERT_TRUE(client.await_in_kernel(give_up_frame.size()));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   client.step();
   settle(*core_);
--- a/tests/crossings/websocket_one_read_test.cpp
+++ b/tests/crossings/websocket_one_read_test.cpp
@@ -11,7 +11,7 @@
  protected:
   // Holds the core's thread, so that all that is sent meanwhile is one batch of it.
   void hold_core() {
-    core_->ask(CallId{}, [this](const core::Status&) { gate_.get_future().wait(); });
+    core_->query(CallId{}, [this](const core::Status&) { gate_.get_future().wait(); });
   }
   void let_core_go() {
     gate_.set_value();
@@ -41,7 +41,7 @@
   expect_message(client, {"close 1000"});
   EXPECT_EQ(client.far.next(), "end");
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   EXPECT_EQ(endpoints_.released(kCall) + endpoints_.given_up(kCall), 0U);
   expect_status(kCall, "stands");
@@ -56,7 +56,7 @@
   ASSERT_TRUE(client.await_close_in_kernel());
   ASSERT_TRUE(client.await_over());
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   EXPECT_EQ(endpoints_.released(kCall) + endpoints_.given_up(kCall), 0U);
   expect_status(kCall, "stands");
@@ -78,7 +78,7 @@
   expect_message(client, {"taken", id_text(kOther)});
   expect_message(client, {"answer", id_text(kOther), "deadline-passed"});
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   expect_message(client, {"answer", id_text(kCall), "stands"});
   expect_nothing(client);
@@ -95,7 +95,7 @@
   expect_message(client, {"close 1002"});
   EXPECT_EQ(client.far.next(), "end");
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   EXPECT_EQ(endpoints_.starts_of(kOther), 0U);
   EXPECT_EQ(core_->counts().requests, 1U);
@@ -137,7 +137,7 @@
   other.send(set_up(kCall));
   expect_message(other, {"error", "duplicate-id", id_text(kCall)});
   ASSERT_TRUE(endpoints_.await_starts(1));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   expect_message(client, {"answer", "stands"});
   other.send(set_up(kCall));
@@ -163,7 +163,7 @@
   client.send(about("release", kCall));
   settle(*core_);
   EXPECT_EQ(endpoints_.given_up(kCall), 0U);
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   EXPECT_TRUE(callers_.await_answer(kCall).stands);
   expect_nothing(client);
 }
@@ -177,7 +177,7 @@
   occupy_endpoint(client, kCall);
   client.far.raw(close_of_client());
   ASSERT_TRUE(client.await_in_kernel(close_of_client().size()));
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   client.step();
   expect_message(client, {"answer", "stands"});
@@ -191,7 +191,7 @@
   WebSocketPeer& client = connect_client();
   occupy_endpoint(client, kCall);
   client.near->send_close(ws::kNormal);  // and its turn has not ended
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   client.near->send_close(ws::kNormal);
   expect_message(client, {"close 1000"});
@@ -213,7 +213,7 @@
   }
   ASSERT_TRUE(client.near->send("last"));
   client.send_bytes(close_of_client());
-  core_->answered(kFirst, kCall, "by a");
+  core_->office_answered(kFirst, kCall, "by a");
   settle(*core_);
   std::string message;
   for (int n = 0; n < sent; ++n) {
--- a/tests/fleet/drift_views_test.cpp
+++ b/tests/fleet/drift_views_test.cpp
@@ -129,7 +129,7 @@
   w.named = {{"class.voice.aim", "1ns", {}}, {"module.attempts", "6", {}}};
   seen.said(at(0s), w, 0s);
   EXPECT_EQ(seen.worst(), rules::Severity::critical);
-  w.named[1].is = "4";
+  w.named[1].actual = "4";
   seen.said(at(1s), w, 0s);
   EXPECT_EQ(seen.worst(), rules::Severity::major);
 }
--- a/tests/fleet/governed_list_test.cpp
+++ b/tests/fleet/governed_list_test.cpp
@@ -26,9 +26,9 @@
     ++times;
   }
   void start(const SetUp& /*set_up*/) override {}
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
   std::map<ServerId, ServerState> state;
   int times = 0;
 };
@@ -39,8 +39,8 @@
     lives += live ? 1 : 0;
     for (const OfficeEntry& o : offices) state[o.entry.server] = o.entry.state;
   }
-  void silent() override { ++silences; }
-  void restarted() override { ++restarts; }
+  void source_lost() override { ++silences; }
+  void source_restarted() override { ++restarts; }
   std::map<ServerId, ServerState> state;
   int wholes = 0, lives = 0, silences = 0, restarts = 0;
 };
@@ -59,72 +59,72 @@
 };
 
 TEST_F(Governed, ReadyWaitsForTheGovernorAndTheRestPassesAtOnce) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
   EXPECT_FALSE(told.state.contains(ServerId{1}));
   EXPECT_EQ(told.state.at(ServerId{2}), ServerState::draining);
   EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(heard.wholes, 1);
-  list.settled({office(1, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(Governed, WhatTheGovernorDecidedBeforeItHeardRevivesNothing) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.told(Source::platform, false, {office(1, ServerState::draining), office(2, ServerState::gone)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.update(Source::platform, false, {office(1, ServerState::draining), office(2, ServerState::gone)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready), office(2, ServerState::draining)});  // it crossed
+  list.apply_decision({office(1, ServerState::ready), office(2, ServerState::draining)});  // it crossed
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
   EXPECT_EQ(told.state.at(ServerId{2}), ServerState::gone);
 }
 
 TEST_F(Governed, ANewerStartRevives) {
-  list.told(Source::platform, false, {office(1, ServerState::gone, 1000)});
-  list.settled({office(1, ServerState::ready, 1000)});
+  list.update(Source::platform, false, {office(1, ServerState::gone, 1000)});
+  list.apply_decision({office(1, ServerState::ready, 1000)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::gone);
-  list.settled({office(1, ServerState::ready, 2000)});
+  list.apply_decision({office(1, ServerState::ready, 2000)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(Governed, WhatAWholeListLeavesOutIsTheGovernorsToSay) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.told(Source::platform, true, {office(2, ServerState::ready)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.update(Source::platform, true, {office(2, ServerState::ready)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);  // it is told of two alone, by a whole list
   EXPECT_EQ(heard.wholes, 2);
-  list.settled({office(1, ServerState::draining)});
+  list.apply_decision({office(1, ServerState::draining)});
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready)});  // another's list has won
+  list.apply_decision({office(1, ServerState::ready)});  // another's list has won
   EXPECT_EQ(told.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(Governed, OnceItIsFollowedAllThatWasNamedIsToldAsLive) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
   EXPECT_EQ(heard.lives, 0);
   heard.state.clear();
-  list.live(true);
-  list.live(true);
+  list.set_followed(true);
+  list.set_followed(true);
   EXPECT_EQ(heard.lives, 1);
   EXPECT_EQ(heard.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(heard.state.at(ServerId{2}), ServerState::draining);
-  list.live(false);
+  list.set_followed(false);
   EXPECT_EQ(heard.silences, 1);
 }
 
 TEST_F(Governed, ASourceThatBeginsAnewIsFollowedOnceItHasCaughtUpWithoutWhatItNamesNoLonger) {
-  list.told(Source::platform, true,
-            {office(1, ServerState::ready), office(2, ServerState::ready), office(3, ServerState::ready)});
-  list.live(true);
-  list.restarted();
-  list.live(false);
+  list.update(Source::platform, true,
+              {office(1, ServerState::ready), office(2, ServerState::ready), office(3, ServerState::ready)});
+  list.set_followed(true);
+  list.source_restarted();
+  list.set_followed(false);
   heard.state.clear();
-  list.told(Source::platform, true, {office(1, ServerState::ready)});
-  list.live(true);  // by a frame; there may be more
+  list.update(Source::platform, true, {office(1, ServerState::ready)});
+  list.set_followed(true);  // by a frame; there may be more
   EXPECT_EQ(heard.lives, 1);
   EXPECT_EQ(heard.state.count(ServerId{2}), 0U) << "not told yet, so not called gone";
-  list.told(Source::platform, false, {office(2, ServerState::ready)});
-  list.caught_up();
+  list.update(Source::platform, false, {office(2, ServerState::ready)});
+  list.source_caught_up();
   EXPECT_EQ(heard.lives, 2);
   EXPECT_EQ(heard.restarts, 1);
   EXPECT_EQ(heard.state.size(), 2U);
@@ -132,7 +132,7 @@
 }
 
 TEST_F(Governed, OtherSourcesPassAsBefore) {
-  list.told(Source::registered, false, {office(7, ServerState::ready)});
+  list.update(Source::registered, false, {office(7, ServerState::ready)});
   EXPECT_EQ(told.state.at(ServerId{7}), ServerState::ready);
   EXPECT_TRUE(heard.state.empty());
 }
--- a/tests/limits/shutdown_test.cpp
+++ b/tests/limits/shutdown_test.cpp
@@ -19,8 +19,8 @@
     SCOPED_TRACE(longest.count());
     const limits::ShutdownTimes times = limits::shutdown_times(kAsked, longest);
     const Time killed = kAsked + std::min(longest, Duration{3s}) + kKillAfterDeadline;
-    EXPECT_GT(times.close_idle, kAsked + kLastRequest);
-    EXPECT_GE(times.refuse_remaining_at, times.close_idle);
+    EXPECT_GT(times.close_idle_at, kAsked + kLastRequest);
+    EXPECT_GE(times.refuse_remaining_at, times.close_idle_at);
     EXPECT_LT(times.refuse_remaining_at, killed);
     EXPECT_GE(times.offices_deadline, times.refuse_remaining_at);
     EXPECT_GE(times.connections_deadline, times.offices_deadline);
@@ -30,18 +30,18 @@
 
 TEST(Shutdown, UsualDeadlinesAreWaitedForAndIdleConnectionsKeptForLateReaders) {
   const limits::ShutdownTimes times = limits::shutdown_times(kAsked, 9s);
-  EXPECT_EQ(times.close_idle, kAsked + 1500ms);
+  EXPECT_EQ(times.close_idle_at, kAsked + 1500ms);
   EXPECT_EQ(times.refuse_remaining_at, kAsked + 3350ms);
   EXPECT_EQ(times.offices_deadline, kAsked + 3430ms);
   EXPECT_EQ(times.connections_deadline, kAsked + 3530ms);
 }
 
-constexpr limits::ShutdownTimes kTimes{.close_idle = kAsked + 1s,
+constexpr limits::ShutdownTimes kTimes{.close_idle_at = kAsked + 1s,
                                        .refuse_remaining_at = kAsked + 3s,
                                        .offices_deadline = kAsked + 4s,
                                        .offices_close_timeout = 500ms,
                                        .connections_deadline = kAsked + 5s};
-using Seen = limits::ShutdownSequence::Seen;
+using Progress = limits::ShutdownSequence::Progress;
 
 TEST(ShutdownSequence, OfficesAreReadToTheirEndsBeforeTheLastCallerIsClosed) {
   limits::ShutdownSequence order(kTimes);
@@ -58,7 +58,7 @@
   EXPECT_FALSE(steps.close_last_caller);
   steps = order.next(kAsked + 1300ms, {.offices_finished = true});
   EXPECT_TRUE(steps.close_last_caller);
-  EXPECT_FALSE(steps.close_callers_by || steps.refuse_calls || steps.done);
+  EXPECT_FALSE(steps.close_callers_by_deadline || steps.refuse_calls || steps.done);
   EXPECT_FALSE(order.next(kAsked + 1400ms, {.offices_finished = true}).close_last_caller) << "once";
   EXPECT_TRUE(order.next(kAsked + 1400ms, {.offices_finished = true, .callers_closed = true}).done);
 }
@@ -72,16 +72,16 @@
 
 TEST(ShutdownSequence, WhatIsOpenInTheEndIsRefusedAndNobodyIsWaitedFor) {
   limits::ShutdownSequence order(kTimes);
-  const Seen busy{.calls_open = true};
+  const Progress busy{.calls_open = true};
   EXPECT_FALSE(order.next(kAsked + 3s - 1ns, busy).refuse_calls);
   auto steps = order.next(kAsked + 3s, busy);
   EXPECT_TRUE(steps.refuse_calls);
   EXPECT_TRUE(steps.finish_offices);
-  EXPECT_FALSE(steps.close_callers_by);
+  EXPECT_FALSE(steps.close_callers_by_deadline);
   steps = order.next(kAsked + 3500ms, busy);
   EXPECT_TRUE(steps.refuse_calls) << "more may have come";
   EXPECT_TRUE(steps.close_last_caller);
-  EXPECT_TRUE(steps.close_callers_by);
+  EXPECT_TRUE(steps.close_callers_by_deadline);
   EXPECT_FALSE(order.next(kAsked + 4s, {.calls_open = true, .callers_closed = true}).done);
   EXPECT_TRUE(order.next(kAsked + 4s, {.callers_closed = true}).done);
 }
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -17,8 +17,8 @@
   return out;
 }
 std::vector<ServerId> tell(Roster& r, bool complete, std::vector<ServerEntry> entries) {
-  const auto out = r.told(complete, entries);
-  r.check();
+  const auto out = r.update(complete, entries);
+  r.check_invariants();
   return out;
 }
 using Ids = std::vector<ServerId>;
@@ -28,7 +28,7 @@
   EXPECT_EQ(tell(r, true, {entry(1), entry(2), entry(3)}), Ids{});
   EXPECT_EQ(tell(r, true, {entry(2)}), (Ids{ServerId{1}, ServerId{3}}));
   EXPECT_EQ(r.size(), 1U);
-  EXPECT_FALSE(r.holds(ServerId{1}));
+  EXPECT_FALSE(r.contains(ServerId{1}));
 }
 TEST(Roster, ChangesLeaveTheOthersAlone) {
   Roster r;
@@ -36,8 +36,8 @@
   EXPECT_EQ(tell(r, false, {entry(2, ServerState::draining)}), Ids{});  // its calls stand on
   EXPECT_TRUE(r.ready(ServerId{1}));
   EXPECT_FALSE(r.ready(ServerId{2}));
-  EXPECT_TRUE(r.holds(ServerId{2}));
-  EXPECT_EQ(r.avoided(), 1U);
+  EXPECT_TRUE(r.contains(ServerId{2}));
+  EXPECT_EQ(r.unavailable(), 1U);
 }
 TEST(Roster, GoneIsSaidOnceAndOnlyOfWhatWasHeld) {
   Roster r;
@@ -49,29 +49,29 @@
 TEST(Roster, AStartAnewEndsTheCallsAndForgetsThatItWasOutOfReach) {
   Roster r;
   tell(r, true, {entry(1, ServerState::ready, 10)});
-  EXPECT_TRUE(r.reached(ServerId{1}, false));
-  EXPECT_EQ(r.avoided(), 1U);
+  EXPECT_TRUE(r.set_reachable(ServerId{1}, false));
+  EXPECT_EQ(r.unavailable(), 1U);
   EXPECT_EQ(tell(r, false, {entry(1, ServerState::ready, 10)}), Ids{});  // told again: nothing is new
-  EXPECT_EQ(r.avoided(), 1U);
+  EXPECT_EQ(r.unavailable(), 1U);
   EXPECT_EQ(tell(r, false, {entry(1, ServerState::ready, 11)}), Ids{ServerId{1}});
-  EXPECT_EQ(r.avoided(), 0U);
+  EXPECT_EQ(r.unavailable(), 0U);
 }
 TEST(Roster, GoneAndBackWithinOneListIsAnotherOffice) {
   Roster r;
   tell(r, true, {entry(1)});
-  r.reached(ServerId{1}, false);
+  r.set_reachable(ServerId{1}, false);
   EXPECT_EQ(tell(r, false, {entry(1, ServerState::gone), entry(1)}), Ids{ServerId{1}});
   EXPECT_TRUE(r.ready(ServerId{1}));
-  EXPECT_EQ(r.avoided(), 0U);
+  EXPECT_EQ(r.unavailable(), 0U);
 }
 TEST(Roster, ReachIsSaidOnlyWhereItChangesAndOnlyOfTheListed) {
   Roster r;
   tell(r, true, {entry(1, ServerState::draining)});
-  EXPECT_FALSE(r.reached(ServerId{1}, true));
-  EXPECT_FALSE(r.reached(ServerId{7}, false));
-  EXPECT_TRUE(r.reached(ServerId{1}, false));
-  EXPECT_EQ(r.avoided(), 1U);  // draining and out of reach is one office
-  EXPECT_TRUE(r.reached(ServerId{1}, true));
+  EXPECT_FALSE(r.set_reachable(ServerId{1}, true));
+  EXPECT_FALSE(r.set_reachable(ServerId{7}, false));
+  EXPECT_TRUE(r.set_reachable(ServerId{1}, false));
+  EXPECT_EQ(r.unavailable(), 1U);  // draining and out of reach is one office
+  EXPECT_TRUE(r.set_reachable(ServerId{1}, true));
 }
 
 // The model holds plain sets, and works each question out from the whole history of one office.
@@ -88,7 +88,7 @@
       const bool up = draw() % 2 == 0;
       const bool changes = listed.contains(id) && unreachable.contains(id) == up;
       if (changes) up ? void(unreachable.erase(id)) : void(unreachable.insert(id));
-      ASSERT_EQ(roster.reached(ServerId{id}, up), changes) << step;
+      ASSERT_EQ(roster.set_reachable(ServerId{id}, up), changes) << step;
     } else {
       const bool complete = draw() % 4 == 0;
       std::vector<ServerEntry> entries;
@@ -116,7 +116,7 @@
     for (const auto& [id, e] : listed)
       avoided += unreachable.contains(id) || e.state != ServerState::ready ? 1 : 0;
     ASSERT_EQ(roster.size(), listed.size()) << step;
-    ASSERT_EQ(roster.avoided(), avoided) << step;
+    ASSERT_EQ(roster.unavailable(), avoided) << step;
   }
 }
 
--- a/tests/membership/watch_pacing_test.cpp
+++ b/tests/membership/watch_pacing_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_EQ(p.pause(1.0), 300ms);
   for (int i = 0; i < 1000; ++i) p.failed();
   EXPECT_EQ(p.pause(1.0), 400ms);
-  p.heard();
+  p.frame_received();
   EXPECT_EQ(p.pause(1.0), 150ms);
 }
 TEST(WatchBackoff, PausesAreSpreadOverHalfOfTheSpan) {
--- a/tests/mgmt/mgmt_test.cpp
+++ b/tests/mgmt/mgmt_test.cpp
@@ -55,16 +55,16 @@
 }
 
 TEST(Figures, CountEachEndUnderItsClassAndLeaveUnknownClassesOut) {
-  figures::Figures f(2);
-  f.ended(0, figures::End::success);
-  f.ended(0, figures::End::success);
-  f.ended(1, figures::End::busy);
-  f.ended(1, figures::End::failure);
-  f.ended(7, figures::End::failure);  // no such class
-  f.attempted();
-  f.attempted();
-  f.attempted();
-  f.listed(5, 2);
+  figures::Metrics f(2);
+  f.count_request(0, figures::Outcome::success);
+  f.count_request(0, figures::Outcome::success);
+  f.count_request(1, figures::Outcome::busy);
+  f.count_request(1, figures::Outcome::failure);
+  f.count_request(7, figures::Outcome::failure);  // no such class
+  f.count_attempt();
+  f.count_attempt();
+  f.count_attempt();
+  f.set_hosts(5, 2);
   EXPECT_EQ(f.render({"a", "b"}, 4),
             "proxy.success.a=2\nproxy.success.b=0\nproxy.busy.a=0\nproxy.busy.b=1\n"
             "proxy.failure.a=0\nproxy.failure.b=1\nproxy.backend_calls=3\nproxy.inflight=4\n"
@@ -161,8 +161,8 @@
 // ---------------------------------------------------------------- the caller's side
 
 TEST(MgmtClient, ReadsWhatTheServerWritesAndNamesTheLineOfWhatItCannot) {
-  figures::Figures f(1);
-  f.ended(0, figures::End::success);
+  figures::Metrics f(1);
+  f.count_request(0, figures::Outcome::success);
   const auto read = mgmt::parse_figures("OK\n" + f.render({"a"}, 7) + "END\n");
   EXPECT_EQ(read.at("success.a"), 1U);
   EXPECT_EQ(read.at("inflight"), 7U);
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -21,14 +21,14 @@
 // Callers of calls from before the start: whoever an office releases is noted.
 class Strays final : public core::CallerFrontend {
  public:
-  bool stands(CallId /*call*/, const std::string& /*description*/) override { return true; }
-  void refused(CallId /*call*/, core::Why /*why*/, Duration /*later*/) override {}
+  bool established(CallId /*call*/, const std::string& /*description*/) override { return true; }
+  void rejected(CallId /*call*/, core::FailureReason /*why*/, Duration /*later*/) override {}
   void released(CallId call, int /*cause*/) override {
     const std::lock_guard hold(lock_);
     released_.push_back(call);
     changed_.notify_all();
   }
-  void over(CallId /*call*/) override {}
+  void ended(CallId /*call*/) override {}
   bool await(CallId call) {
     std::unique_lock hold(lock_);
     return changed_.wait_for(
@@ -44,9 +44,9 @@
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& /*set_up*/) override {}
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
 };
 
 // The loop's thread is not started: a turn comes when the test gives it, so that what crosses, crosses each
@@ -197,7 +197,7 @@
     out.call = CallId{call};
     out.attempt = 1;
     out.office = kOffice;
-    out.give_up = give_up;
+    out.expires_at = give_up;
     out.description = std::move(description);
     return out;
   }
@@ -213,7 +213,7 @@
   std::uint64_t queue_behind_others(Time give_up) {
     const std::string filler(40'000, 'f');
     std::uint64_t call = 1;
-    for (; call < 1000 && core_->figures().backend_calls() == call - 1; ++call)
+    for (; call < 1000 && core_->metrics().backend_calls() == call - 1; ++call)
       EXPECT_TRUE(link_->start(set_up(call, give_up, filler), "voice"));
     EXPECT_LT(call, 1000U) << "a peer that does not read took all";
     EXPECT_TRUE(link_->start(set_up(call, give_up), "voice"));
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -39,24 +39,24 @@
 }
 
 TEST(Rules, DigestsDoNotDependOnTheOrderOfPutting) {
-  const Tree a = read_back(settings(), kNames);
+  const Tree a = rules_of(settings(), kNames);
   std::vector<std::pair<std::string, std::string>> rules(a.rules().begin(), a.rules().end());
   std::mt19937 draws(20261202);
   for (int round = 0; round < 20; ++round) {
     std::shuffle(rules.begin(), rules.end(), draws);
     Tree b;
     for (const auto& [key, value] : rules) ASSERT_TRUE(b.put(key, value));
-    EXPECT_EQ(b.whole(), a.whole());
+    EXPECT_EQ(b.digest(), a.digest());
     EXPECT_EQ(b.sections(), a.sections());
   }
 }
 
 TEST(Rules, OneKeyThatDiffersIsFoundByItsSectionAlone) {
-  const Tree a = read_back(settings(), kNames);
+  const Tree a = rules_of(settings(), kNames);
   for (const auto& [key, value] : a.rules()) {
     Tree b;
     for (const auto& [k, v] : a.rules()) ASSERT_TRUE(b.put(k, k == key ? v + "0" : v));
-    EXPECT_NE(a.whole(), b.whole()) << key;
+    EXPECT_NE(a.digest(), b.digest()) << key;
     std::size_t looked = 0;
     const auto found = differences(a, b, &looked);
     ASSERT_EQ(found.size(), 1U) << key;
@@ -93,44 +93,44 @@
 }
 
 TEST(Rules, WhatIsReadBackCanBeLaidOverAndNothingElse) {
-  const Tree wanted = read_back(settings(), kNames);
+  const Tree wanted = rules_of(settings(), kNames);
   Settings other;
   other.classes.resize(2);
   other.tenants.resize(1);
   other.own_place = 7;
   for (const auto& [key, value] : wanted.rules()) {
-    EXPECT_EQ(lay_over(other, kNames, key, value), "") << key;
+    EXPECT_EQ(apply_rule(other, kNames, key, value), "") << key;
     EXPECT_TRUE(rule_info(key, kNames, 1)) << key;
   }
-  EXPECT_EQ(read_back(other, kNames), wanted);
+  EXPECT_EQ(rules_of(other, kNames), wanted);
   EXPECT_EQ(other.own_place, 7) << "a controller's own";
-  EXPECT_EQ(lay_over(other, kNames, "module.atempts", "5"), "module.atempts: is no rule");
-  EXPECT_EQ(lay_over(other, kNames, "class.video.aim", "1ns"), "class.video.aim: is no rule");
-  EXPECT_EQ(lay_over(other, kNames, "tenant.1.quota", "1"), "tenant.1.quota: is no rule");
-  EXPECT_EQ(lay_over(other, kNames, "module.attempts", "many"),
+  EXPECT_EQ(apply_rule(other, kNames, "module.atempts", "5"), "module.atempts: is no rule");
+  EXPECT_EQ(apply_rule(other, kNames, "class.video.aim", "1ns"), "class.video.aim: is no rule");
+  EXPECT_EQ(apply_rule(other, kNames, "tenant.1.quota", "1"), "tenant.1.quota: is no rule");
+  EXPECT_EQ(apply_rule(other, kNames, "module.attempts", "many"),
             "module.attempts: must be a count in its range, not 'many'");
-  EXPECT_EQ(lay_over(other, kNames, "module.attempts", "4294967296"),
+  EXPECT_EQ(apply_rule(other, kNames, "module.attempts", "4294967296"),
             "module.attempts: must be a count in its range, not '4294967296'");
-  EXPECT_NE(lay_over(other, kNames, "class.voice.places", "1,,2"), "");
-  EXPECT_NE(lay_over(other, kNames, "classes", "voice"), "") << "a version changes no classes";
-  EXPECT_EQ(read_back(other, kNames), wanted) << "what was refused has changed nothing";
+  EXPECT_NE(apply_rule(other, kNames, "class.voice.places", "1,,2"), "");
+  EXPECT_NE(apply_rule(other, kNames, "classes", "voice"), "") << "a version changes no classes";
+  EXPECT_EQ(rules_of(other, kNames), wanted) << "what was refused has changed nothing";
 }
 
 TEST(Rules, AnExtraClassShowsByTheListOfClasses) {
   Settings more = settings();
   more.classes.push_back(more.classes[0]);
-  const Rules governed{{"classes", *read_back(settings(), kNames).value("classes")}};
-  const Tree extra = read_back(more, std::vector<std::string>{"voice", "Alta prioridad", "voce"});
+  const Rules governed{{"classes", *rules_of(settings(), kNames).value("classes")}};
+  const Tree extra = rules_of(more, std::vector<std::string>{"voice", "Alta prioridad", "voce"});
   EXPECT_EQ(differences(extra, governed).size(), 1U);
 }
 
 TEST(Rules, BoundsOfThePlatformAreCriticalWhoeverApprovedThem) {
   Settings s = settings();
-  EXPECT_TRUE(violated_bounds(read_back(s, kNames)).empty());
+  EXPECT_TRUE(violated_bounds(rules_of(s, kNames)).empty());
   s.attempts_cap = 6;
   s.release_guard = 300ms - 1ns;
   s.classes[1].aim = 4s + 1ns;
-  EXPECT_EQ(violated_bounds(read_back(s, kNames)).size(), 3U);
+  EXPECT_EQ(violated_bounds(rules_of(s, kNames)).size(), 3U);
   EXPECT_EQ(severity_of("module.attempts", "6"), Severity::critical);
   EXPECT_EQ(severity_of("module.attempts", "0"), Severity::critical);
   EXPECT_EQ(severity_of("module.attempts", "4"), Severity::major);
@@ -145,7 +145,7 @@
 // What the module says that it holds is what it was given, whole: not a copy that somebody else keeps.
 TEST(Rules, TheModuleIsReadBackFromItself) {
   const Controller controller(settings(), 1);
-  EXPECT_EQ(read_back(controller.settings(), kNames), read_back(settings(), kNames));
+  EXPECT_EQ(rules_of(controller.settings(), kNames), rules_of(settings(), kNames));
 }
 
 }  // namespace
--- a/tests/system_calls/discovery_test.cpp
+++ b/tests/system_calls/discovery_test.cpp
@@ -75,9 +75,9 @@
       named_.push_back(static_cast<std::uint32_t>(endpoint.entry.server));
   }
   void start(const core::SetUp& /*attempt*/) override {}
-  void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   std::vector<std::uint32_t> named() {
     const std::lock_guard hold(lock_);
     return named_;
--- a/tests/system_calls/exchange.cpp
+++ b/tests/system_calls/exchange.cpp
@@ -33,7 +33,7 @@
   core = std::make_unique<core::Core>(settings, 1);
   links = std::make_unique<platform::Offices>(*core, std::vector<std::string>{"voice"}, 500ms);
   sip = std::make_unique<platform::SipFront>(*core, std::vector<std::string>{"voice"}, 100);
-  core->watch(blame_);
+  core->set_observer(blame_);
   core->start(*links, sip.get());
   sip->open(front);
   client = std::make_unique<FakeClient>(front);
@@ -42,7 +42,7 @@
   std::vector<core::OfficeEntry> listed;
   for (std::uint32_t n = 0; n < endpoints.size(); ++n)
     listed.push_back({{.server = ServerId{n + 1}, .place = n}, net::to_text(endpoints[n].address)});
-  core->told(true, listed);
+  core->update_offices(true, listed);
 }
 
 bool Exchange::until(const std::function<bool()>& holds) {
--- a/tests/system_calls/exchange.h
+++ b/tests/system_calls/exchange.h
@@ -55,7 +55,7 @@
 
  private:
   struct Blame final : core::OfficeObserver {
-    void saw(ServerId /*endpoint*/, OfficeObservation what) override {
+    void observed(ServerId /*endpoint*/, OfficeObservation what) override {
       count += what == OfficeObservation::unreachable ? 1 : 0;
     }
     std::atomic<int> count{0};
--- a/tests/system_calls/partial_write_test.cpp
+++ b/tests/system_calls/partial_write_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_TRUE(is(line(next), "FINISH", kCall));
   ASSERT_TRUE(callers_.await(kCall, 1));
   EXPECT_EQ(callers_.events(kCall),
-            std::vector{"ended " + std::to_string(static_cast<int>(core::Why::attempts_failed))});
+            std::vector{"ended " + std::to_string(static_cast<int>(core::FailureReason::attempts_failed))});
   EXPECT_EQ(lines_until_now(endpoint, next), std::vector<std::string>{});
 }
 
--- a/tests/system_calls/silence_test.cpp
+++ b/tests/system_calls/silence_test.cpp
@@ -19,19 +19,19 @@
 using faults::Call;
 
 constexpr ServerId kEndpoint{10};
-constexpr Duration kLost = membership::ReachabilitySettings{}.lost;
+constexpr Duration kLost = membership::ReachabilitySettings{}.loss_timeout;
 
 class NoEndpoints final : public core::OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
   void start(const core::SetUp& /*attempt*/) override {}
-  void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*endpoint*/, bool /*calls_established*/) override {}
 };
 class Blame final : public core::OfficeObserver {
  public:
-  void saw(ServerId /*endpoint*/, OfficeObservation what) override {
+  void observed(ServerId /*endpoint*/, OfficeObservation what) override {
     unreachable = unreachable || what == OfficeObservation::unreachable;
   }
   std::atomic<bool> unreachable{false};
@@ -40,7 +40,7 @@
 // All that was posted to the core before has been taken.
 void settle(core::Core& core) {
   std::promise<void> taken;
-  core.at(net::now(), [&taken] { taken.set_value(); });
+  core.run_at(net::now(), [&taken] { taken.set_value(); });
   taken.get_future().wait();
 }
 
@@ -51,7 +51,7 @@
   Blame blame;
   NoEndpoints none;
   core::Core core(settings, 1);
-  core.watch(blame);
+  core.set_observer(blame);
   core.start(none);
   const net::Address at = own_address(3);
   const net::Fd listener = net::listen_on(at);
@@ -117,7 +117,8 @@
 TEST_F(QuietEndpoint, CallsThatStandOutlastAWantOfDescriptors) {
   // It is asked for after a silence, and tried each 10 ms without room until it could count as lost. The dial
   // after these fails, as a single one may.
-  constexpr std::uint64_t kWithoutRoom = (kLost - membership::ReachabilitySettings{}.quiet) / 10ms + 50;
+  constexpr std::uint64_t kWithoutRoom =
+      (kLost - membership::ReachabilitySettings{}.idle_before_probe) / 10ms + 50;
   faults::arm({.call = Call::socket, .error = EMFILE, .repeat = kWithoutRoom, .after = ENOTSUP});
   await_failures(kWithoutRoom + 1);
   ASSERT_TRUE(exchange_.until([] { return faults::visited(Call::socket) > kWithoutRoom + 1; }));
@@ -130,7 +131,7 @@
 
 // The want hides that the process has died; its calls are cut once that shows.
 TEST_F(QuietEndpoint, DeathInAWantOfDescriptorsShowsAfterIt) {
-  constexpr std::uint64_t kWithoutRoom = kLost / membership::ReachabilitySettings{}.look + 4;
+  constexpr std::uint64_t kWithoutRoom = kLost / membership::ReachabilitySettings{}.retry_interval + 4;
   faults::arm({.call = Call::socket, .error = EMFILE, .repeat = kWithoutRoom});
   endpoint().die();
   await_failures(kWithoutRoom);
--- a/tests/system_calls/trunk_exchange.cpp
+++ b/tests/system_calls/trunk_exchange.cpp
@@ -58,10 +58,12 @@
   seen.note(set_up.call, &CallSeen::starts);
   core_.attempt_transmitted();
   const auto behaviour = static_cast<std::uint64_t>(set_up.number) % 10;
-  if (behaviour == kAnswers) core_.answered(kEndpoint, set_up.call, "by the endpoint");
-  if (behaviour == kBusy) core_.ended({kEndpoint, set_up.call, kBusyCause, "", {}});
+  if (behaviour == kAnswers) core_.office_answered(kEndpoint, set_up.call, "by the endpoint");
+  if (behaviour == kBusy) core_.office_released({kEndpoint, set_up.call, kBusyCause, "", {}});
+}
+void TrunkEndpoint::hang_up(CallId call) {
+  core_.office_released({kEndpoint, call, core::kNormalClearing, "", {}});
 }
-void TrunkEndpoint::hang_up(CallId call) { core_.ended({kEndpoint, call, core::kNormalClearing, "", {}}); }
 
 TrunkExchange::TrunkExchange()
     : near(core_settings(), 1), far(core_settings(), 2), near_list_(near), far_list_(far) {
@@ -111,12 +113,12 @@
 
 void TrunkExchange::invite(std::uint64_t call, int behaviour) {
   core::Request request;
-  request.told.call = CallId{call};
-  request.told.number = CalledNumber{call * 10 + static_cast<std::uint64_t>(behaviour)};
-  request.told.destination = kPlace;
-  request.told.caller_leaves_at = net::now() + 4s;
+  request.arrival.call = CallId{call};
+  request.arrival.number = CalledNumber{call * 10 + static_cast<std::uint64_t>(behaviour)};
+  request.arrival.destination = kPlace;
+  request.arrival.caller_leaves_at = net::now() + 4s;
   request.description = "offer";
-  request.side = &caller;
+  request.frontend = &caller;
   near.request(std::move(request));
 }
 bool TrunkExchange::await_final(std::uint64_t call) {
--- a/tests/system_calls/trunk_exchange.h
+++ b/tests/system_calls/trunk_exchange.h
@@ -45,11 +45,11 @@
   explicit TrunkEndpoint(core::Core& core) : core_(core) {}
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
   void start(const core::SetUp& set_up) override;
-  void give_up(ServerId /*endpoint*/, CallId call, std::uint32_t /*attempt*/) override {
+  void cancel(ServerId /*endpoint*/, CallId call, std::uint32_t /*attempt*/) override {
     seen.note(call, &CallSeen::over);
   }
   void release(ServerId /*endpoint*/, CallId call) override { seen.note(call, &CallSeen::over); }
-  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   void hang_up(CallId call);
   SeenCalls seen;
 
@@ -59,14 +59,14 @@
 
 class TrunkCaller final : public core::CallerFrontend {
  public:
-  bool stands(CallId call, const std::string& /*description*/) override {
+  bool established(CallId call, const std::string& /*description*/) override {
     return seen.note(call, &CallSeen::stands), true;
   }
-  void refused(CallId call, core::Why /*why*/, Duration /*later*/) override {
+  void rejected(CallId call, core::FailureReason /*why*/, Duration /*later*/) override {
     seen.note(call, &CallSeen::refusals);
   }
   void released(CallId call, int /*cause*/) override { seen.note(call, &CallSeen::releases); }
-  void over(CallId /*call*/) override {}
+  void ended(CallId /*call*/) override {}
   SeenCalls seen;
 };
 
--- a/tests/system_calls/trunk_set_up_test.cpp
+++ b/tests/system_calls/trunk_set_up_test.cpp
@@ -103,7 +103,7 @@
     set_up.call = CallId{call};
     set_up.attempt = 1;
     set_up.office = kTrunk;
-    set_up.give_up = give_up;
+    set_up.expires_at = give_up;
     trunk_->start(set_up);
   }
   static constexpr ServerId kTrunk{0xf001};
--- a/tests/system_calls/zone_updates_test.cpp
+++ b/tests/system_calls/zone_updates_test.cpp
@@ -60,9 +60,9 @@
     named_ = std::max(named_, endpoints.size());
   }
   void start(const core::SetUp& /*attempt*/) override {}
-  void give_up(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*endpoint*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*endpoint*/, CallId /*call*/) override {}
-  void keep(ServerId /*endpoint*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*endpoint*/, bool /*calls_established*/) override {}
   std::size_t told() {
     const std::lock_guard hold(lock_);
     return told_;
