--- a/tests/clocks/controlled_clocks.cpp
+++ b/tests/clocks/controlled_clocks.cpp
@@ -12,13 +12,13 @@
 
 constexpr std::int64_t kSecond = 1'000'000'000;
 constexpr std::int64_t kHour = 3600 * kSecond;
-constexpr std::int64_t kHeldAhead = 1000 * kHour;
-// What is read is wrong by each of these in turn.
+constexpr std::int64_t kFrozenAhead = 1000 * kHour;
+// Successive readings are wrong by each of these in turn.
 constexpr std::array<std::int64_t, 5> kSteps = {0, -kHour, 5 * kSecond, kHour, -5 * kSecond};
 
 std::atomic<std::uint64_t> readings{0};
 std::atomic<std::int64_t> stepped_by{0};
-std::atomic<std::int64_t> held_at{0};  // 0: not held
+std::atomic<std::int64_t> frozen_at{0};  // 0: not frozen
 
 std::int64_t true_clock(clockid_t clock) {
   timespec now{};
@@ -36,12 +36,12 @@
 extern "C" {
 
 int clock_gettime(clockid_t clock, timespec* out) noexcept {
-  const std::int64_t held = held_at.load();
+  const std::int64_t frozen = frozen_at.load();
   std::int64_t now = 0;
   if (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE || clock == CLOCK_TAI) {
     now = read_wall_clock();
-  } else if (held != 0 && (clock == CLOCK_MONOTONIC || clock == CLOCK_MONOTONIC_COARSE)) {
-    now = held;
+  } else if (frozen != 0 && (clock == CLOCK_MONOTONIC || clock == CLOCK_MONOTONIC_COARSE)) {
+    now = frozen;
   } else {
     return static_cast<int>(::syscall(SYS_clock_gettime, clock, out));
   }
@@ -73,8 +73,8 @@
 
 std::uint64_t wall_clock_readings() { return readings.load(); }
 void step_wall_clock(std::chrono::nanoseconds by) { stepped_by += by.count(); }
-void hold_steady_clock() { held_at = true_clock(CLOCK_MONOTONIC) + kHeldAhead; }
-void advance_steady_clock(std::chrono::nanoseconds by) { held_at += by.count(); }
-void free_steady_clock() { held_at = 0; }
+void freeze_steady_clock() { frozen_at = true_clock(CLOCK_MONOTONIC) + kFrozenAhead; }
+void advance_steady_clock(std::chrono::nanoseconds by) { frozen_at += by.count(); }
+void unfreeze_steady_clock() { frozen_at = 0; }
 
 }  // namespace reeltack::test
--- a/tests/clocks/core_steps_test.cpp
+++ b/tests/clocks/core_steps_test.cpp
@@ -1,5 +1,5 @@
-// The core in virtual time while the wall clock is stepped at each stage of a call: all that happens, and
-// when, stays what it is without a step.
+// Runs the core in virtual time while the wall clock is stepped at each stage of a call: everything happens
+// as, and when, it does without a step.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -22,14 +22,14 @@
 constexpr Duration kSteps[] = {-1h, -5s, 5s, 1h};
 
 constexpr ServerId kEndpoint{1};
-constexpr CallId kAnswered{1};   // waits, is sent, is cut, is sent again, stands and is released
-constexpr CallId kForgotten{2};  // nobody answers it: its attempt times out
-constexpr CallId kLate{3};       // nor this one, whose caller has less time than an attempt
-constexpr CallId kDrained{4};    // open as the program ends
+constexpr CallId kAnswered{1};   // queued, sent, fails, sent again, established and released
+constexpr CallId kForgotten{2};  // never answered: its attempt times out
+constexpr CallId kLate{3};       // never answered either; its caller waits less long than an attempt may take
+constexpr CallId kDrained{4};    // still open as the program ends
 constexpr Duration kReleaseGuard = 300ms;
-constexpr Duration kTurn = 5ms;  // of the virtual clock
+constexpr Duration kClockStep = 5ms;  // of the virtual clock
 
-// Both sides of the core. Notes what it does, and when.
+// Both sides of the core; records what the core does and when.
 class Recorder final : public core::OfficeBackend, public core::CallerFrontend {
  public:
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*endpoints*/) override {}
@@ -48,8 +48,8 @@
     note("stands", call);
     return true;
   }
-  void rejected(CallId call, core::FailureReason why, Duration later) override {
-    note("refused " + std::to_string(later / 1ms), call, static_cast<std::uint32_t>(why));
+  void rejected(CallId call, core::FailureReason reason, Duration retry_after) override {
+    note("refused " + std::to_string(retry_after / 1ms), call, static_cast<std::uint32_t>(reason));
   }
   void released(CallId call, int cause) override {
     note("released", call, static_cast<std::uint32_t>(cause));
@@ -60,7 +60,7 @@
     const std::lock_guard hold(lock_);
     return notes_;
   }
-  // When this happened, since the start.
+  // When this event happened, since the start; negative if it did not.
   [[nodiscard]] Duration when(const std::string& what, CallId call, std::uint32_t number = 0) const {
     const std::lock_guard hold(lock_);
     const auto at = times_.find(name(what, call, number));
@@ -73,21 +73,21 @@
   }
   void note(const std::string& what, CallId call, std::uint32_t number = 0) {
     const std::lock_guard hold(lock_);
-    const Duration since = base::now() - begun_;
+    const Duration since = base::now() - start_;
     times_.emplace(name(what, call, number), since);
     notes_.push_back(std::to_string(since / 1us) + " us: " + name(what, call, number));
   }
 
-  const Time begun_ = base::now();
+  const Time start_ = base::now();
   mutable std::mutex lock_;  // guards what follows
   std::vector<std::string> notes_;
   std::map<std::string, Duration> times_;
 };
 
-// One life of a core on the held clock, with a step of the wall clock at one of its stages.
-class Life {
+// One run of a core on the frozen clock, with a step of the wall clock at one of its stages.
+class Run {
  public:
-  Life(Stage stage, Duration step) : stage_(stage), step_(step) {
+  Run(Stage stage, Duration step) : stage_(stage), step_(step) {
     core_.start(recorder_);
     play();
     core_.stop();
@@ -160,13 +160,13 @@
     settle();
   }
   void pass(Duration span) {
-    for (Duration passed{}; passed < span; passed += kTurn) {
-      advance_steady_clock(kTurn);
+    for (Duration passed{}; passed < span; passed += kClockStep) {
+      advance_steady_clock(kClockStep);
       settle();
     }
   }
-  // A question is answered before the timers and the module of its turn: after the second, the first turn is
-  // over.
+  // A status query is answered before the timers and the module run in the same step of the core: once the
+  // second is answered, the step of the first has ended.
   void settle() {
     for (int i = 0; i < 2; ++i) {
       std::promise<void> answered;
@@ -184,18 +184,18 @@
 
 class CoreSteps : public ::testing::Test {
  protected:
-  CoreSteps() { hold_steady_clock(); }
-  ~CoreSteps() override { free_steady_clock(); }
+  CoreSteps() { freeze_steady_clock(); }
+  ~CoreSteps() override { unfreeze_steady_clock(); }
 };
 
-// Else the steps would be at other stages than they say.
+// Verifies that the steps of the other test come at the stages that they name.
 TEST_F(CoreSteps, EachStageIsReached) {
-  const Life life(Stage::none, {});
-  const Recorder& r = life.recorder();
+  const Run run(Stage::none, {});
+  const Recorder& r = run.recorder();
   std::string all;
   for (const std::string& note : r.notes()) all += note + "\n";
   SCOPED_TRACE(all);
-  EXPECT_GE(r.when("start", kAnswered), 100ms) << "it waits in the queue first";
+  EXPECT_GE(r.when("start", kAnswered), 100ms) << "it is queued first";
   EXPECT_LE(r.when("start", kAnswered), 200ms);
   EXPECT_GE(r.when("start", kAnswered, 1), 400ms + kReleaseGuard);
   EXPECT_LE(r.when("start", kAnswered, 1), 900ms);
@@ -203,8 +203,8 @@
   EXPECT_EQ(r.when("release", kAnswered), 3s);
   EXPECT_GE(r.when("start", kForgotten), 3s);
   EXPECT_EQ(r.when("give up", kForgotten), 4s);
-  const auto refused = [&r](CallId call, core::FailureReason why) {
-    return r.when("refused 0", call, static_cast<std::uint32_t>(why));
+  const auto refused = [&r](CallId call, core::FailureReason reason) {
+    return r.when("refused 0", call, static_cast<std::uint32_t>(reason));
   };
   EXPECT_EQ(refused(kForgotten, core::FailureReason::attempts_failed), 4s);
   EXPECT_GE(r.when("start", kLate), 5100ms);
@@ -213,20 +213,21 @@
   EXPECT_EQ(refused(kDrained, core::FailureReason::attempts_failed), 6650ms);
 }
 
-TEST_F(CoreSteps, NoStageNoticesAStepOfTheWallClock) {
-  const Life unstepped(Stage::none, {});
+TEST_F(CoreSteps, StepsOfTheWallClockChangeNothingAtAnyStage) {
+  const Run unstepped(Stage::none, {});
   for (const Stage stage : kStages) {
     for (const Duration step : kSteps) {
       SCOPED_TRACE("stage " + std::to_string(static_cast<int>(stage)) + ", step " +
                    std::to_string(step / 1s));
-      const Life stepped(stage, step);
+      const Run stepped(stage, step);
       EXPECT_EQ(stepped.recorder().notes(), unstepped.recorder().notes());
     }
   }
 }
 
-// What starts of endpoints become on the core's clock, and what the module sends them by it, is held by
-// listed_starts_test.cpp and by the slow start's worlds, which this program's check is linked into too.
+// How the endpoints' starts are converted to the core's clock, and what the module sends them accordingly, is
+// tested by listed_starts_test.cpp and by the slow-start simulations, into which the check of wall clock
+// readings is linked too.
 
 }  // namespace
 }  // namespace reeltack::test
--- a/tests/clocks/listed_starts_test.cpp
+++ b/tests/clocks/listed_starts_test.cpp
@@ -1,4 +1,4 @@
-// The list of endpoints, told starts while its wall clock is stepped: since when each process is said to run.
+// The `started_at` that OfficeList derives from reported starts while the wall clock is stepped.
 #include <gtest/gtest.h>
 
 #include "core/office_list.h"
@@ -11,8 +11,8 @@
 constexpr Duration kOffset = std::chrono::hours(400'000);
 constexpr Duration kSteps[] = {-1h, -5s, 5s, 1h};
 
-// What the senders' side is told, which is before the core hears of it.
-class Told final : public OfficeBackend {
+// Records the entries passed to the backend, which receives them before the core.
+class RecordingBackend final : public OfficeBackend {
  public:
   void listed(bool /*complete*/, const std::vector<OfficeEntry>& offices) override {
     for (const OfficeEntry& o : offices) entries[o.entry.server] = o.entry;
@@ -26,7 +26,7 @@
 
 class ListedStarts : public ::testing::Test {
  protected:
-  ListedStarts() { core.start(told); }
+  ListedStarts() { core.start(backend); }
   ~ListedStarts() override { core.stop(); }
   [[nodiscard]] OfficeEntry endpoint(std::uint32_t id, Duration age) const {
     OfficeEntry out;
@@ -36,20 +36,20 @@
     return out;
   }
   [[nodiscard]] Duration age(std::uint32_t id) const {
-    return now - told.entries.at(ServerId{id}).started_at;
+    return now - backend.entries.at(ServerId{id}).started_at;
   }
 
   Time now{100h};
   Duration step{};
   Core core{Settings{}, 1};
-  Told told;
+  RecordingBackend backend;
   OfficeList list{
       core, [this] {
         return clocks::ClockReading{now, clocks::WallTime{now.time_since_epoch() + kOffset + step}};
       }};
 };
 
-TEST_F(ListedStarts, AreAgedOnceAndStayThroughEachStep) {
+TEST_F(ListedStarts, AreConvertedOnceAndUnaffectedBySteps) {
   const OfficeEntry cold = endpoint(1, 3s);
   const OfficeEntry warm = endpoint(2, 2h);
   list.update(Source::platform, true, {cold, warm});
@@ -58,13 +58,14 @@
     now += 1s;
     list.confirm_current();
     list.update(Source::platform, true, {cold, warm});
-    EXPECT_EQ(now - told.entries.at(ServerId{1}).started_at, now - Time{100h} + 3s);
-    EXPECT_EQ(now - told.entries.at(ServerId{2}).started_at, now - Time{100h} + 2h);
-    EXPECT_EQ(told.entries.at(ServerId{1}).start, cold.entry.start) << "the process it was";
+    EXPECT_EQ(now - backend.entries.at(ServerId{1}).started_at, now - Time{100h} + 3s);
+    EXPECT_EQ(now - backend.entries.at(ServerId{2}).started_at, now - Time{100h} + 2h);
+    EXPECT_EQ(backend.entries.at(ServerId{1}).start, cold.entry.start)
+        << "the start itself is passed on unchanged";
   }
 }
 
-TEST_F(ListedStarts, RestartThatAFollowedDiscoveryTellsIsYoungAfterEachStep) {
+TEST_F(ListedStarts, RestartReportedByFollowedDiscoveryIsYoungAfterEachStep) {
   list.update(Source::platform, true, {endpoint(1, 2h)});
   for (const Duration by : kSteps) {
     step = by;
@@ -76,7 +77,7 @@
   }
 }
 
-TEST_F(ListedStarts, EndpointThatRegistersIsAgedToo) {
+TEST_F(ListedStarts, AreConvertedForRegisteredEndpointsToo) {
   list.update(Source::registered, false, {endpoint(3, 20s)});
   EXPECT_EQ(age(3), 20s);
 }
--- a/tests/clocks/no_wall_readings.cpp
+++ b/tests/clocks/no_wall_readings.cpp
@@ -1,4 +1,4 @@
-// Linked into a test program, it fails each test in which anything reads the wall clock.
+// Linked into a test program, fails each test in which anything reads the wall clock.
 #include <gtest/gtest.h>
 
 #include "controlled_clocks.h"
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void forget_wall_clock_readings(std::uint64_t count) { readings_at_start += count; }
+void exclude_wall_clock_readings(std::uint64_t count) { readings_at_start += count; }
 std::uint64_t wall_clock_readings_of_test() { return wall_clock_readings() - readings_at_start; }
 
 }  // namespace reeltack::test
--- a/tests/clocks/start_times_bounds_test.cpp
+++ b/tests/clocks/start_times_bounds_test.cpp
@@ -1,4 +1,4 @@
-// Starts of endpoints that register themselves, and how many are kept of them.
+// Starts of endpoints that register themselves, and the bounds on what is retained.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -8,9 +8,9 @@
 namespace reeltack::clocks {
 namespace {
 
-// Discovery knows nothing of an endpoint that registers itself: with a wall clock that is right, its age is
-// what it says, also while discovery is followed.
-TEST_F(Clocks, RegisteredEndpointIsAsOldAsItSays) {
+// Discovery knows nothing of an endpoint that registers itself: with a correct wall clock its age is the
+// reported one, also while discovery is followed.
+TEST_F(Clocks, RegisteredEndpointHasItsReportedAge) {
   StartTimes times(reading());
   times.mark_followed(now_);
   EXPECT_EQ(age(times, entry(1, start_of_age(3h)), 0s, Origin::endpoint), 3h);
@@ -22,31 +22,32 @@
     age(times, entry(1, start_of_age(50h)), wrong, Origin::endpoint);
     now_ += 60s;
     age(times, entry(1, start_of_age(50h + 60s)), wrong,
-        Origin::endpoint);  // told again as its connection ends
+        Origin::endpoint);  // reported again as its connection ends
     now_ += 2s;
     EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong, Origin::endpoint), 2s + kMaxDiscoveryDelay)
         << wrong / 1s;
   }
 }
 
-// That discovery has told of an endpoint says nothing of since when it has registered.
-TEST_F(Clocks, EndpointThatDiscoveryAloneHasToldIsAsOldAsItSaysWhenItRegisters) {
+// A report by discovery does not tell when the endpoint registered.
+TEST_F(Clocks, EndpointKnownFromDiscoveryHasItsReportedAgeWhenItRegisters) {
   StartTimes times(reading());
   age(times, entry(1, start_of_age(50h)));
   now_ += 10s;
   EXPECT_EQ(age(times, entry(1, start_of_age(60s)), 0s, Origin::endpoint), 60s);
 }
 
-// Another's clock is no bound for ours: one that registers with a start in the future makes nobody older.
-TEST_F(Clocks, StartsOfOthersBoundNothing) {
+// Only discovery's clock bounds ours: an endpoint that registers with a start in the future makes no other
+// older.
+TEST_F(Clocks, StartsNotFromDiscoveryBoundNothing) {
   StartTimes times(reading());
   age(times, entry(1, start_of_age(-10h)), 0s, Origin::controllers);
   age(times, entry(2, start_of_age(-10h)), 0s, Origin::endpoint);
   EXPECT_EQ(age(times, entry(3, start_of_age(3s))), 3s);
 }
 
-// Of an endpoint's many starts the newest are kept, and the oldest is aged anew by the wall clock.
-TEST_F(Clocks, KeepsTheNewestStartsOfAnEndpoint) {
+// Of many starts of an endpoint the newest are retained; the age of a forgotten one is derived again.
+TEST_F(Clocks, RetainsTheNewestStartsOfAnEndpoint) {
   StartTimes times(reading());
   const StartId first = start_of_age(10s);
   age(times, entry(1, first));
@@ -62,11 +63,11 @@
   };
   for (std::size_t i = 0; i < starts.size(); ++i)
     EXPECT_EQ(age(times, entry(1, starts[i]), -1h), 3s + passed(i)) << i;
-  // Forgotten, and aged anew: by the wall clock and its bound, which the youngest has set.
+  // Forgotten, so its age is derived again, by the wall clock and the bound that the youngest has set.
   EXPECT_EQ(age(times, entry(1, first), -1h), 10s + 60s * kMaxStartsPerEndpoint - 3s);
 }
 
-// Which endpoint is forgotten: the one that started the longest ago, which is found to be old again.
+// The endpoint with the oldest start is forgotten; if it is reported again, it is found to be old again.
 TEST_F(Clocks, ForgetsTheEndpointThatStartedTheLongestAgo) {
   StartTimes times(reading());
   std::vector<ServerEntry> list;
@@ -76,13 +77,14 @@
   age(times, entry(kMaxEndpoints, start_of_age(30min)), 0s, Origin::endpoint);
   EXPECT_EQ(times.endpoints(), kMaxEndpoints);
   const ServerEntry latest = entry(kMaxEndpoints, start_of_age(30min));
-  EXPECT_EQ(age(times, latest, -10min, Origin::endpoint), 30min) << "kept, so that no step moves it";
+  EXPECT_EQ(age(times, latest, -10min, Origin::endpoint), 30min) << "retained, so no step moves it";
   for (const std::uint32_t id : {0U, 1U, 8U, 100U})
-    EXPECT_EQ(age(times, list[id], 3600s), 1h + std::chrono::seconds(id)) << "kept as well";
-  EXPECT_EQ(age(times, list[7], -10min, Origin::endpoint), 9h - 10min) << "forgotten: by the wall clock";
+    EXPECT_EQ(age(times, list[id], 3600s), 1h + std::chrono::seconds(id)) << "retained as well";
+  EXPECT_EQ(age(times, list[7], -10min, Origin::endpoint), 9h - 10min)
+      << "forgotten, so derived from the wall clock";
 }
 
-TEST_F(Clocks, KeepsABoundedNumberOfEndpoints) {
+TEST_F(Clocks, RetainsABoundedNumberOfEndpoints) {
   StartTimes times(reading());
   const StartId last = start_of_age(1s);
   for (std::uint32_t id = 0; id < kMaxEndpoints + 100; ++id) {
--- a/tests/clocks/start_times_fixture.h
+++ b/tests/clocks/start_times_fixture.h
@@ -1,4 +1,4 @@
-// A machine whose wall clock may be wrong, and the lists that it is told, for the tests of StartTimes.
+// Fixture for the tests of StartTimes: a machine whose wall clock may be wrong, and the lists it receives.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,13 +16,13 @@
 inline constexpr Duration kTrueOffset = std::chrono::hours(400'000);  // Unix time at the steady clock's epoch
 inline constexpr Duration kSteps[] = {-1h, -5s, 0s, 5s, 1h};
 
-// A machine whose steady clock is right, and whose wall clock is wrong by a step.
+// The steady clock is right; the wall clock is wrong by a step.
 class Clocks : public ::testing::Test {
  protected:
   [[nodiscard]] ClockReading reading(Duration wrong_by = 0s) const {
     return {now_, WallTime{now_.time_since_epoch() + kTrueOffset + wrong_by}};
   }
-  // The Unix time at which a process started that is so old by now.
+  // The start, in Unix time, of a process that now has this age.
   [[nodiscard]] StartId start_of_age(Duration age) const {
     const Duration unix_time = now_.time_since_epoch() + kTrueOffset - age;
     return StartId{static_cast<std::uint64_t>(unix_time / 1ms)};
@@ -33,14 +33,14 @@
     out.start = start;
     return out;
   }
-  // The age that is taken for it.
+  // The age that StartTimes derives for the entry.
   Duration age(StartTimes& times, ServerEntry entry, Duration wrong_by = 0s,
                Origin from = Origin::discovery) const {
     const std::array<ServerEntry*, 1> one{&entry};
     times.fill(from, reading(wrong_by), one);
     return now_ - entry.started_at;
   }
-  // One list of discovery's.
+  // Applies one list of discovery.
   void fill(StartTimes& times, std::vector<ServerEntry>& list) const {
     std::vector<ServerEntry*> entries;
     for (ServerEntry& e : list) entries.push_back(&e);
--- a/tests/clocks/start_times_test.cpp
+++ b/tests/clocks/start_times_test.cpp
@@ -1,4 +1,4 @@
-// When endpoints started on our own clock, while the wall clock is right, wrong or stepped: a rule a test.
+// Endpoints' starts on our own clock while the wall clock is right, wrong or stepped; one test for each rule.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -8,7 +8,7 @@
 namespace reeltack::clocks {
 namespace {
 
-TEST_F(Clocks, StartNotToldIsFromLongAgo) {
+TEST_F(Clocks, UnknownStartIsLongAgo) {
   StartTimes times(reading());
   times.mark_followed(now_);
   ServerEntry e = entry(1, StartId{});
@@ -18,7 +18,7 @@
   EXPECT_EQ(e.started_at, Time{});
 }
 
-TEST_F(Clocks, InitialListTellsAgesWhereTheWallClockIsRight) {
+TEST_F(Clocks, InitialListGivesTrueAgesWithACorrectWallClock) {
   StartTimes times(reading());
   std::vector<ServerEntry> list;
   for (const Duration old : {0s, 3s, 30s, 3600s})
@@ -28,8 +28,8 @@
     EXPECT_EQ(now_ - e.started_at, std::chrono::seconds(static_cast<std::uint32_t>(e.server)));
 }
 
-// What began before the steady clock did is as old as it is, or from long ago.
-TEST_F(Clocks, ProcessOlderThanTheMachinesClockIsFromLongAgo) {
+// A start before the steady clock's epoch counts as long ago.
+TEST_F(Clocks, ProcessOlderThanTheSteadyClockIsFromLongAgo) {
   now_ = Time{10s};
   StartTimes times(reading());
   std::vector<ServerEntry> list{entry(1, start_of_age(4s)), entry(2, start_of_age(100h))};
@@ -39,7 +39,7 @@
 }
 
 // Whichever way the wall clock was stepped since the program's start, the smaller age counts.
-TEST_F(Clocks, OfTheOffsetAtTheStartAndThePresentOneTheYoungerAgeCounts) {
+TEST_F(Clocks, SmallerAgeOfTheInitialAndThePresentOffsetCounts) {
   for (const Duration step : kSteps) {
     StartTimes first_right(reading());
     EXPECT_EQ(age(first_right, entry(1, start_of_age(10s)), step),
@@ -54,12 +54,12 @@
   StartTimes times(reading());
   EXPECT_EQ(age(times, entry(1, start_of_age(-20s))), 0s);
   EXPECT_EQ(age(times, entry(2, start_of_age(-20s)), -1h, Origin::controllers), 0s);
-  StartTimes unbounded(reading());  // by no start of discovery's
+  StartTimes unbounded(reading());  // no start of discovery has been received
   EXPECT_EQ(age(unbounded, entry(3, start_of_age(-20s)), 0s, Origin::controllers), 0s);
   EXPECT_EQ(age(unbounded, entry(4, start_of_age(10s)), -1h, Origin::endpoint), 0s);
 }
 
-// A start told again, after a step or not, stays when it was; so does the one before it.
+// A start that is reported again does not move, whether after a step or not; nor does the start before it.
 TEST_F(Clocks, KnownStartNeverMoves) {
   for (const Duration step : kSteps) {
     StartTimes times(reading());
@@ -75,21 +75,22 @@
   }
 }
 
-// However far ahead our wall clock is, from the start on or since: a restart that a followed discovery tells
-// of is young.
-TEST_F(Clocks, RestartToldByAFollowedDiscoveryIsYoungWhateverTheWallClockSays) {
+// A restart that discovery reports while it is followed is young, however far ahead our wall clock is, from
+// the beginning or since then.
+TEST_F(Clocks, RestartReportedByFollowedDiscoveryIsYoungWhateverTheWallClock) {
   for (const Duration wrong : kSteps) {
     StartTimes times(reading(wrong));
     age(times, entry(1, start_of_age(50h)), wrong);
     now_ += 60s;
     times.mark_followed(now_);
     EXPECT_LE(age(times, entry(1, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << wrong / 1s;
-    EXPECT_LE(age(times, entry(2, start_of_age(1s)), wrong), kMaxDiscoveryDelay) << "of one not known before";
+    EXPECT_LE(age(times, entry(2, start_of_age(1s)), wrong), kMaxDiscoveryDelay)
+        << "an endpoint not known before";
   }
 }
 
-// Where discovery was not followed for a while, a restart may be as old as that.
-TEST_F(Clocks, RestartMissedWhileDiscoveryWasAwayIsNoOlderThanThat) {
+// If discovery was not followed for a while, a restart may be as old as that.
+TEST_F(Clocks, RestartMissedWithoutDiscoveryIsNoOlderThanItsAbsence) {
   StartTimes times(reading(1h));
   age(times, entry(1, start_of_age(50h)), 1h);
   times.mark_followed(now_);
@@ -97,7 +98,7 @@
   EXPECT_EQ(age(times, entry(1, start_of_age(90s)), 1h), 100s + kMaxDiscoveryDelay);
 }
 
-// What is older than the start known is no restart: its age is the wall clock's.
+// A start older than the known one is no restart: its age comes from the wall clock.
 TEST_F(Clocks, OlderStartIsNoRestart) {
   StartTimes times(reading());
   age(times, entry(1, start_of_age(10s)));
@@ -105,7 +106,7 @@
   EXPECT_EQ(age(times, entry(1, start_of_age(50s)), 0s, Origin::controllers), 50s);
 }
 
-// An hour behind: without a bound all of them would look as just started.
+// With a wall clock an hour behind and no bound, all would look newly started.
 TEST_F(Clocks, NewestStartBoundsAWallClockThatIsBehind) {
   StartTimes times(reading(-1h));
   ServerEntry young = entry(1, start_of_age(5s));
@@ -116,33 +117,33 @@
   EXPECT_EQ(now_ - young.started_at, 0s);
   EXPECT_EQ(now_ - middle.started_at, 10min - 5s);
   EXPECT_EQ(now_ - old.started_at, 50min - 5s);
-  // The bound holds on: what is heard later is aged by it too.
+  // The bound applies to what is received later too.
   now_ += 20s;
   EXPECT_EQ(age(times, entry(4, start_of_age(30min)), -1h, Origin::endpoint), 30min - 5s);
-  // A later list of older ones alone does not take it back.
+  // A later list of older starts does not lower it.
   age(times, old, -1h);
   EXPECT_EQ(age(times, entry(5, start_of_age(20min)), -1h, Origin::endpoint), 20min - 5s);
 }
 
-// Discovery's first list is that of our own start. What it names later has started since, also before it was
-// followed for the first time, as where it can't be reached at first.
-TEST_F(Clocks, StartNamedAfterTheFirstListIsNoOlderThanTheProgram) {
+// Discovery's first list describes the time of our own start. What it names later has started since, even
+// before it is first followed, such as when it cannot be reached at first.
+TEST_F(Clocks, StartReportedAfterTheFirstListIsNoOlderThanTheProgram) {
   for (const Duration wrong : kSteps) {
     StartTimes times(reading(wrong));
     age(times, entry(1, start_of_age(50h)), wrong);
     now_ += 100s;
-    const Duration most = 100s + kMaxDiscoveryDelay;
-    EXPECT_LE(age(times, entry(1, start_of_age(90s)), wrong), most) << "a restart";
-    EXPECT_LE(age(times, entry(2, start_of_age(80s)), wrong), most) << "a new endpoint";
-    EXPECT_LE(age(times, entry(3, start_of_age(80s)), wrong, Origin::controllers), most);
+    const Duration limit = 100s + kMaxDiscoveryDelay;
+    EXPECT_LE(age(times, entry(1, start_of_age(90s)), wrong), limit) << "a restart";
+    EXPECT_LE(age(times, entry(2, start_of_age(80s)), wrong), limit) << "a new endpoint";
+    EXPECT_LE(age(times, entry(3, start_of_age(80s)), wrong, Origin::controllers), limit);
   }
 }
 
-// The first list itself is not: what runs in it may have run for long.
-TEST_F(Clocks, FirstListIsNotTakenForYoungHoweverLateItComes) {
+// That does not hold for the first list itself: its processes may have run for long.
+TEST_F(Clocks, FirstListIsNotAssumedYoungHoweverLateItComes) {
   StartTimes times(reading());
   now_ += 100s;
-  EXPECT_EQ(age(times, entry(1, start_of_age(50h)), 0s, Origin::controllers), 50h) << "not discovery's";
+  EXPECT_EQ(age(times, entry(1, start_of_age(50h)), 0s, Origin::controllers), 50h) << "not from discovery";
   std::vector<ServerEntry> list{entry(1, start_of_age(50h)), entry(2, start_of_age(40h))};
   fill(times, list);
   EXPECT_EQ(now_ - list[0].started_at, 50h);
--- a/tests/clocks/steppable_wall_clock.cpp
+++ b/tests/clocks/steppable_wall_clock.cpp
@@ -1,8 +1,8 @@
 // A library that a test preloads into the real program to step its wall clock: CLOCK_REALTIME, gettimeofday()
-// and time() read the true time and a step, which the test writes into a file that both have mapped. Other
-// clocks stay.
+// and time() return the true time plus a step, which the test writes to a file that both have mapped. Other
+// clocks are not changed.
 //
-// The file: one int64, nanoseconds, named by REELTACK_WALL_STEP.
+// The file holds one int64, nanoseconds; REELTACK_WALL_STEP holds its path.
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/syscall.h>
@@ -28,11 +28,11 @@
 }
 
 std::int64_t step() {
-  static std::atomic<std::int64_t>* const held = mapped();
-  return held == nullptr ? 0 : held->load();
+  static std::atomic<std::int64_t>* const shared = mapped();
+  return shared == nullptr ? 0 : shared->load();
 }
 
-// By the system call: what this library replaces must not call itself.
+// Uses the system call: the replaced function must not call itself.
 int read_clock(clockid_t clock, timespec* out) {
   return static_cast<int>(::syscall(SYS_clock_gettime, clock, out));
 }
--- a/tests/clocks/wall_readings_test.cpp
+++ b/tests/clocks/wall_readings_test.cpp
@@ -1,4 +1,4 @@
-// That the readings of the wall clock are counted, and stepped against each other.
+// Readings of the wall clock are counted, and each is stepped relative to the one before.
 #include <gtest/gtest.h>
 #include <sys/time.h>
 
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-// The framework's own reading is known exactly, so that not one of another's passes for it.
-TEST(WallReadings, OnlyTheFrameworksStampIsTakenByTheTimeATestBegins) {
+// The framework's own readings are known exactly, so that no other reading is mistaken for one of them.
+TEST(WallReadings, OnlyTheFrameworkHasReadTheClockWhenATestBegins) {
   EXPECT_EQ(wall_clock_readings_of_test(), kReadingsByFramework);
 }
 
@@ -21,7 +21,7 @@
   const base::WallTime second = base::wall_now();
   EXPECT_EQ(wall_clock_readings(), before + 2);
   EXPECT_GT(std::chrono::abs(second - first), 4s);
-  forget_wall_clock_readings(2);  // these are meant
+  exclude_wall_clock_readings(2);  // these are intended
 }
 
 }  // namespace
--- a/tests/clocks/wall_steps_test.cpp
+++ b/tests/clocks/wall_steps_test.cpp
@@ -1,6 +1,6 @@
-// The real program while its machine's wall clock is stepped by 5 s or an hour, either way: at each stage of
-// a call, during a drain and between two tries to reach discovery. Nothing comes sooner than its time, and
-// nothing is kept waiting.
+// Runs the real program while its machine's wall clock is stepped by 5 s or an hour either way: at each stage
+// of a call, during a drain and between two attempts to reach discovery. Nothing may happen early or be
+// delayed.
 #include <sys/mman.h>
 
 #include <atomic>
@@ -11,16 +11,15 @@
 namespace reeltack::test {
 namespace {
 
-// So much before its caller's time is up a call is answered at the earliest: 8 ms before by the core
-// (src/core/admit.cpp), two looks of the module, of 37.5 ms each, before that where it waits to be sent
-// again.
-constexpr auto kAnsweredAhead = 8ms + 2 * 38ms;
+// How long before its caller's deadline a call may be answered: 8 ms by the core (src/core/admit.cpp), and
+// two intervals of the module, of 37.5 ms each, earlier where the call waits to be sent again.
+constexpr auto kAnswerLead = 8ms + 2 * 38ms;
 
 class WallStep : public Scenario, public ::testing::WithParamInterface<std::chrono::seconds> {
  protected:
   void SetUp() override {
     Scenario::SetUp();
-    known_ = known_.substr(0, known_.find(",{"));  // a alone: a second call waits in the queue
+    known_ = known_.substr(0, known_.find(",{"));  // office a alone, so a second call is queued
     ::mkdir(dir().c_str(), 0700);
     const std::string path = dir() + "/wall-step";
     const net::Fd file(::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC, 0600));
@@ -30,7 +29,7 @@
     step_ = static_cast<std::atomic<std::int64_t>*>(at);
     environment_["REELTACK_WALL_STEP"] = path;
     environment_["LD_PRELOAD"] = STEPPABLE_WALL_CLOCK;
-    const char* asan = std::getenv("ASAN_OPTIONS");  // whose own library wants to be the first
+    const char* asan = std::getenv("ASAN_OPTIONS");  // its library demands to be loaded first
     environment_["ASAN_OPTIONS"] =
         (asan == nullptr ? std::string() : std::string(asan) + ":") + "verify_asan_link_order=0";
   }
@@ -48,13 +47,13 @@
       c open sip
     )");
   }
-  // The core has had a turn since, and has taken whatever was due by its clock: it refuses a call without
-  // time.
+  // Waits until the core has taken a step and run whatever was due by its clock: it refuses a call without
+  // time left.
   void await_core() {
     const std::string id = "#" + std::to_string(next_refused_--);
     play("c send INVITE " + id + " Subject:patient X-Patience:1 X-Facts:dest:0 | d\nc expect 408 " + id);
   }
-  // As a's next message, a START, says it.
+  // The time left according to office a's next message, a START.
   std::chrono::milliseconds left_of_start() {
     const std::string line = peers_.at("a").next();
     const std::size_t at = line.find(R"("left":")");
@@ -65,7 +64,7 @@
   int next_refused_ = 9;
 };
 
-// That the program reads the stepped clock, or the tests here would show nothing.
+// The program reads the stepped clock; otherwise these tests would show nothing.
 TEST_P(WallStep, ShowsInTheLog) {
   const auto stamp = [this] {
     const std::size_t end = seen_.rfind('\n');
@@ -78,7 +77,7 @@
   EXPECT_LE(std::abs(stamp() - before - std::chrono::milliseconds(GetParam()).count()), 4500) << seen_;
 }
 
-TEST_P(WallStep, CallThatWaitsInTheQueueGoesOutWithWhatIsLeft) {
+TEST_P(WallStep, QueuedCallIsSentWithTheTimeLeft) {
   start_with_a_up();
   play(R"(
     c send INVITE #1 Subject:patient X-Patience:4000 X-Facts:dest:0 | d
@@ -101,7 +100,7 @@
   )");
 }
 
-TEST_P(WallStep, CallThatIsSentIsAnsweredAtItsDeadline) {
+TEST_P(WallStep, SentCallIsAnsweredAtItsDeadline) {
   start_with_a_up();
   const Time asked = net::now();
   play("c send INVITE #1 Subject:patient X-Patience:1500 X-Facts:dest:0 | d\na expect START #1");
@@ -109,10 +108,10 @@
   const std::string answer = peers_.at("c").next();
   const Time answered = net::now();
   EXPECT_TRUE(answer.rfind("SIP/2.0 408", 0) == 0 || answer.rfind("SIP/2.0 50", 0) == 0) << answer;
-  EXPECT_GE((answered - asked) / 1ms, (1500ms - kAnsweredAhead) / 1ms);
+  EXPECT_GE((answered - asked) / 1ms, (1500ms - kAnswerLead) / 1ms);
 }
 
-TEST_P(WallStep, CallThatIsSentMayBeAnswered) {
+TEST_P(WallStep, SentCallCanBeAnswered) {
   start_with_a_up();
   play("c send INVITE #1 Subject:patient X-Patience:4000 X-Facts:dest:0 | d\na expect START #1");
   step_wall_clock();
@@ -123,23 +122,23 @@
   )");
 }
 
-// After a cut the set-up may run still for 300 ms, so that it isn't sent again sooner.
-TEST_P(WallStep, GuardAfterACutIsKept) {
+// After its connection is dropped the set-up may still run for 300 ms, so it is not sent again sooner.
+TEST_P(WallStep, GuardAfterADroppedConnectionIsObserved) {
   start_with_a_up();
   play("c send INVITE #1 Subject:patient X-Patience:8000 X-Facts:dest:0 | d\na expect START #1");
-  const Time cut = net::now();
+  const Time dropped = net::now();
   play("a close");
   step_wall_clock();
-  // The attempt that was cut is given up on the next connection, before the next one.
+  // The dropped attempt is cancelled on the next connection, before the next attempt.
   play("a wait\na expect \"verb\":\"FINISH\" \"tag\":\"#1\" \"rc\":16\na expect START #1");
-  EXPECT_GE(net::now(), cut + 300ms);
+  EXPECT_GE(net::now(), dropped + 300ms);
   play(R"(
     a send {"verb":"STARTED","tag":"#1","opts":{},"blob":"by a"}
     c expect 200 #1 INVITE by a
   )");
 }
 
-TEST_P(WallStep, CallThatStandsIsReleasedByItsCallerAlone) {
+TEST_P(WallStep, EstablishedCallIsReleasedByItsCallerOnly) {
   start_with_a_up();
   play(R"(
     c send INVITE #1 Subject:patient X-Patience:8000 X-Facts:dest:0 | d
@@ -158,15 +157,15 @@
   )");
 }
 
-// An hour ahead, the last moment of the drain would be long past, and the call be refused.
-TEST_P(WallStep, DrainAnswersWhatWasTaken) {
+// With the clock an hour ahead, the drain deadline would be long past and the call would be refused.
+TEST_P(WallStep, DrainAnswersAcceptedCalls) {
   start_with_a_up();
   play("c send INVITE #1 Subject:patient X-Patience:8000 X-Facts:dest:0 | d\na expect START #1");
   ::kill(child_, SIGTERM);
   ASSERT_TRUE(read_log("asked to end")) << seen_;
-  net::pause_until(net::now() + 100ms);  // it has read the clock for its last moment
+  net::pause_until(net::now() + 100ms);  // it has read the clock for its deadline
   step_wall_clock();
-  net::pause_until(net::now() + 100ms);  // it looks each 10 ms whether its time is up
+  net::pause_until(net::now() + 100ms);  // it checks every 10 ms whether its time is up
   play(R"(
     a send {"verb":"STARTED","tag":"#1","opts":{},"blob":"by a"}
     c expect 200 #1 INVITE by a
@@ -174,7 +173,7 @@
   stop();
 }
 
-TEST_P(WallStep, DiscoveryIsTriedAgain) {
+TEST_P(WallStep, DiscoveryIsRetried) {
   start(true, "{\"on\":false}", 7300);
   step_wall_clock();
   const net::Fd discovery = net::listen_on({host(0), 7300});
--- a/tests/membership/reach_test.cpp
+++ b/tests/membership/reach_test.cpp
@@ -1,4 +1,4 @@
-// When an office is dialled, asked for and given up for dead, in told time at the bounds.
+// When an office is dialled, probed and considered lost, in simulated time at the bounds.
 #include "membership/reach.h"
 
 #include <gtest/gtest.h>
@@ -29,63 +29,63 @@
   return r;
 }
 
-TEST(Reachability, AReadyOfficeIsDialledAtOnceAndADrainingOneForWhatIsLeftThere) {
+TEST(Reachability, ReadyOfficeIsDialledAtOnceAndDrainingOneForItsCallsAndReleases) {
   Reachability r = ready_at_start();
   EXPECT_LE(r.dial_at(false, false), at(0s));
   r.update(entry(ServerState::draining));
   EXPECT_EQ(r.dial_at(false, false), Time::max());
-  EXPECT_LE(r.dial_at(false, true), at(0s));  // a release is owed
+  EXPECT_LE(r.dial_at(false, true), at(0s));  // a release waits
   r.set_calls_established(true);
-  EXPECT_LE(r.dial_at(false, false), at(0s));  // calls stand
+  EXPECT_LE(r.dial_at(false, false), at(0s));  // calls are established
 }
-TEST(Reachability, AFailureIsFollowedAfterAWhileAndBySetUpsAtOnce) {
+TEST(Reachability, FailureIsRetriedAfterAnIntervalAndForSetUpsAtOnce) {
   Reachability r = ready_at_start();
-  EXPECT_FALSE(r.dial_failed(DialResult::refused, at(1s)));  // it never was up: no call is over
+  EXPECT_FALSE(r.dial_failed(DialResult::refused, at(1s)));  // it was never up: no call ends
   EXPECT_EQ(r.dial_at(false, false), at(1250ms));
   EXPECT_LE(r.dial_at(true, false), at(1s));
-  r.update(entry());  // the list speaks of it: at once
+  r.update(entry());  // the list names it: at once
   EXPECT_LE(r.dial_at(false, false), at(1s));
 }
-TEST(Reachability, ARefusalAfterItWasUpIsADeathOnceAndOnlyAStartAnewEndsIt) {
+TEST(Reachability, RefusalAfterAConnectionIsADeathOnceUntilARestart) {
   Reachability r = up_at_start(true);
   r.disconnected(at(1s));
   EXPECT_EQ(r.dial_at(false, false), at(1020ms));
-  EXPECT_FALSE(r.dial_failed(DialResult::failed, at(1020ms)));  // out of reach is not dead yet
+  EXPECT_FALSE(r.dial_failed(DialResult::failed, at(1020ms)));  // unreachable is not dead yet
   EXPECT_TRUE(r.dial_failed(DialResult::refused, at(1270ms)));
   EXPECT_FALSE(r.dial_failed(DialResult::refused, at(2s)));
-  EXPECT_EQ(r.dial_at(false, true), Time::max());  // another may have the address
-  EXPECT_LE(r.dial_at(true, false), at(2s));       // but a set-up finds out
+  EXPECT_EQ(r.dial_at(false, true), Time::max());  // another process may have the address
+  EXPECT_LE(r.dial_at(true, false), at(2s));       // but a set-up tries it
   r.update(entry());
-  EXPECT_EQ(r.dial_at(false, false), Time::max());  // told again, not as started anew
+  EXPECT_EQ(r.dial_at(false, false), Time::max());  // listed again, not as restarted
   EXPECT_TRUE(r.update(entry(ServerState::ready, 5000)));
   EXPECT_LE(r.dial_at(false, false), at(2s));
 }
-TEST(Reachability, AQuietConnectionIsAskedForWhereCallsStand) {
+TEST(Reachability, QuietConnectionIsProbedWhileCallsAreEstablished) {
   Reachability r = up_at_start(false);
-  EXPECT_EQ(r.probe_at(), Time::max());  // it may stay quiet
+  EXPECT_EQ(r.probe_at(), Time::max());  // no probe is needed
   r.set_calls_established(true);
   EXPECT_EQ(r.probe_at(), at(2500ms));
   r.received(at(2s));
   EXPECT_EQ(r.probe_at(), at(4500ms));
 }
-TEST(Reachability, ASetUpWithoutAWordIsAskedForSooner) {
+TEST(Reachability, UnansweredSetUpIsProbedSooner) {
   Reachability r = up_at_start(true);
   EXPECT_TRUE(r.set_up_sent(at(1s)));
-  EXPECT_FALSE(r.set_up_sent(at(1800ms)));  // it counts from the first
+  EXPECT_FALSE(r.set_up_sent(at(1800ms)));  // counts from the first
   EXPECT_EQ(r.probe_at(), at(2s));
   r.received(at(1900ms));
   EXPECT_EQ(r.probe_at(), at(4400ms));
 }
-TEST(Reachability, SilenceIsCalledALossOnlyAfterLongEnoughWithoutANewConnection) {
+TEST(Reachability, SilenceIsALossOnlyAfterTheTimeoutWithoutANewConnection) {
   Reachability r = up_at_start(true);
   EXPECT_EQ(r.probed(DialResult::failed, at(3s)), ProbeResult::wait);
   EXPECT_EQ(r.probe_at(), at(3250ms));
   EXPECT_EQ(r.probed(DialResult::failed, at(5500ms - 1ns)), ProbeResult::wait);
   EXPECT_EQ(r.probed(DialResult::failed, at(5500ms)), ProbeResult::lost);
   EXPECT_EQ(r.dial_at(false, false), Time::max());
-  EXPECT_FALSE(r.dial_failed(DialResult::refused, at(6s)));  // its calls have been cut already
+  EXPECT_FALSE(r.dial_failed(DialResult::refused, at(6s)));  // its calls have already been dropped
 }
-TEST(Reachability, WhatAnswersTheAskingTakesTheOldConnectionsPlaceOrEndsIt) {
+TEST(Reachability, ProbeReplacesOrEndsTheOldConnection) {
   Reachability r = up_at_start(true);
   EXPECT_EQ(r.probed(DialResult::connected, at(3s)), ProbeResult::replaced);
   r.disconnected(at(3s));
@@ -93,9 +93,9 @@
   EXPECT_EQ(r.probe_at(), at(5500ms));
   EXPECT_EQ(r.probed(DialResult::refused, at(6s)), ProbeResult::drop);
   r.disconnected(at(6s));
-  EXPECT_TRUE(r.dial_failed(DialResult::refused, at(6020ms)));  // and then it is a death
+  EXPECT_TRUE(r.dial_failed(DialResult::refused, at(6020ms)));  // then it counts as dead
 }
-// The connection ended before the machine fell silent: the same bound as of one that is open and quiet.
+// If the connection ends before the machine falls silent, the same bound applies as to an open, quiet one.
 TEST(Reachability, SilenceAfterTheConnectionHasEndedIsALossToo) {
   Reachability r = up_at_start(true);
   r.received(at(1s));
@@ -103,24 +103,25 @@
   EXPECT_FALSE(r.dial_failed(DialResult::failed, at(6500ms - 1ns)));
   EXPECT_TRUE(r.dial_failed(DialResult::failed, at(6500ms)));
   EXPECT_FALSE(r.dial_failed(DialResult::failed, at(7s))) << "once";
-  EXPECT_EQ(r.dial_at(false, false), at(7250ms)) << "it is still looked for";
+  EXPECT_EQ(r.dial_at(false, false), at(7250ms)) << "it is still dialled";
 }
-TEST(Reachability, WithoutACallThatStandsNothingIsLost) {
+TEST(Reachability, NothingIsLostWithoutEstablishedCalls) {
   Reachability r = up_at_start(false);
   r.disconnected(at(2s));
   EXPECT_FALSE(r.dial_failed(DialResult::failed, at(60s)));
 }
-// However long a connection may take by the settings: the calls that stand are not kept waiting for it.
-TEST(Reachability, AConnectionIsAwaitedNoLongerThanTheCallsThatStand) {
+// However long a connection may take by the settings, established calls do not wait for it.
+TEST(Reachability, ConnectionIsAwaitedNoLongerThanEstablishedCallsAllow) {
   Reachability r = up_at_start(true);
   EXPECT_EQ(r.dial_deadline(at(2500ms), 500ms), at(3s));
   EXPECT_EQ(r.dial_deadline(at(2500ms), 60s), at(5500ms));
-  EXPECT_EQ(r.dial_deadline(at(6s), 500ms), at(6500ms));  // that time has passed
+  EXPECT_EQ(r.dial_deadline(at(6s), 500ms), at(6500ms));  // that bound has passed
   r.set_calls_established(false);
   EXPECT_EQ(r.dial_deadline(at(2500ms), 60s), at(62500ms));
 }
-// Our own want of descriptors hides whether the office is there: only dials that could be made show it.
-TEST(Reachability, WantOfRoomOnThisHostIsNoEvidenceOfSilence) {
+// A shortage of descriptors on this host hides whether the office is there: only dials that could be made
+// show it.
+TEST(Reachability, LocalShortageIsNoEvidenceOfSilence) {
   Reachability open = up_at_start(true);
   open.dial_impossible(at(6s));
   EXPECT_EQ(open.probed(DialResult::failed, at(9s - 1ns)), ProbeResult::wait);
@@ -132,21 +133,21 @@
   EXPECT_FALSE(ended.dial_failed(DialResult::failed, at(9s - 1ns)));
   EXPECT_TRUE(ended.dial_failed(DialResult::failed, at(9s)));
 }
-TEST(Reachability, WantOfRoomThatIsOverBeforeTheSilenceChangesNothing) {
+TEST(Reachability, LocalShortageThatEndsBeforeTheSilenceChangesNothing) {
   Reachability r = up_at_start(true);
   r.dial_impossible(at(1s));
   EXPECT_EQ(r.probed(DialResult::failed, at(5500ms - 1ns)), ProbeResult::wait);
   EXPECT_EQ(r.probed(DialResult::failed, at(5500ms)), ProbeResult::lost);
 }
-// A process that died meanwhile is found dead: the want did not make its calls be forgotten.
-TEST(Reachability, RefusalAfterWantOfRoomIsADeath) {
+// A process that died during the shortage is found dead: its calls were not forgotten.
+TEST(Reachability, RefusalAfterALocalShortageIsADeath) {
   Reachability r = up_at_start(true);
   r.disconnected(at(1s));
   for (Duration d = 1s; d <= 7s; d += 10ms) r.dial_impossible(at(d));
   EXPECT_TRUE(r.dial_failed(DialResult::refused, at(7s)));
 }
 
-TEST(Reachability, GoneIsForGood) {
+TEST(Reachability, GoneIsPermanent) {
   Reachability r = up_at_start(true);
   EXPECT_TRUE(r.update(entry(ServerState::gone)));
   EXPECT_TRUE(r.gone());
--- a/tests/membership/releases_test.cpp
+++ b/tests/membership/releases_test.cpp
@@ -1,4 +1,4 @@
-// Which releases go again once their connection has ended, in told time at the bounds.
+// Which releases are sent again once their connection has ended, in simulated time at the bounds.
 #include "membership/releases.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return out;
 }
 
-TEST(Releases, WhatWasSentGoesAgainInItsOrderAndOnce) {
+TEST(Releases, AreSentAgainInOrderAndOnce) {
   PendingReleases r;
   r.add(CallId{1}, "a", at(0s));
   r.add(CallId{2}, "b", at(1ms));
@@ -23,17 +23,17 @@
   EXPECT_EQ(ended(r, 11ms), "");
 }
 
-TEST(Releases, AWordOfTheFarEndSettlesWhatWasSentLongEnoughBefore) {
+TEST(Releases, MessageOfTheFarEndConfirmsWhatWasSentLongEnoughBefore) {
   PendingReleases r({.in_transit = 1s});
   r.add(CallId{1}, "a", at(0s));
   r.add(CallId{2}, "b", at(1ms));
   r.peer_active(at(1s) - 1ns);
-  EXPECT_EQ(r.size(), 2U);  // that word may have been on its way already
+  EXPECT_EQ(r.size(), 2U);  // that message may have been sent before
   r.peer_active(at(1s));
   EXPECT_EQ(ended(r, 1s), "b");
 }
 
-TEST(Releases, WhatWasHeardDoesNotGoAgain) {
+TEST(Releases, AcknowledgedOnesAreNotSentAgain) {
   PendingReleases r;
   for (const int i : {1, 2, 3}) r.add(CallId{std::uint64_t(i)}, std::to_string(i), at(0s));
   r.acknowledge(CallId{2});
@@ -41,7 +41,7 @@
   EXPECT_EQ(ended(r, 0s), "13");
 }
 
-TEST(Releases, WithoutAWordItIsOwedForeverOrUntilItIsSettledAsToldToBe) {
+TEST(Releases, WithoutAMessageTheyStayPendingOrExpireAsConfigured) {
   PendingReleases office;
   office.add(CallId{1}, "a", at(0s));
   EXPECT_EQ(ended(office, 1h), "a");
@@ -51,13 +51,13 @@
   EXPECT_EQ(ended(caller, 1s), "b");
 }
 
-TEST(Releases, OfMoreThanItsBoundTheOldestIsForgotten) {
+TEST(Releases, BeyondTheBoundTheOldestIsDiscarded) {
   PendingReleases r({.max_size = 2});
   for (const int i : {1, 2, 3}) r.add(CallId{std::uint64_t(i)}, std::to_string(i), at(0s));
   EXPECT_EQ(ended(r, 0s), "23");
 }
 
-TEST(Releases, OfAFarEndThatDidNotReadAllGoAgainHoweverOld) {
+TEST(Releases, UnreadOnesAreAllSentAgainWhateverTheirAge) {
   PendingReleases r({.assume_read_after = 1s});
   r.add(CallId{1}, "a", at(0s));
   r.add(CallId{2}, "b", at(5s));
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -1,4 +1,4 @@
-// The roster by the case, and on long random runs against a plain model.
+// The roster case by case, and on long random runs against a plain model.
 #include "membership/roster.h"
 
 #include <gtest/gtest.h>
@@ -16,65 +16,65 @@
   out.start = StartId{start};
   return out;
 }
-std::vector<ServerId> tell(Roster& r, bool complete, std::vector<ServerEntry> entries) {
+std::vector<ServerId> update(Roster& r, bool complete, std::vector<ServerEntry> entries) {
   const auto out = r.update(complete, entries);
   r.check_invariants();
   return out;
 }
 using Ids = std::vector<ServerId>;
 
-TEST(Roster, AWholeListEndsTheCallsOfWhatItLeavesOut) {
+TEST(Roster, CompleteListEndsTheCallsOfMissingOffices) {
   Roster r;
-  EXPECT_EQ(tell(r, true, {entry(1), entry(2), entry(3)}), Ids{});
-  EXPECT_EQ(tell(r, true, {entry(2)}), (Ids{ServerId{1}, ServerId{3}}));
+  EXPECT_EQ(update(r, true, {entry(1), entry(2), entry(3)}), Ids{});
+  EXPECT_EQ(update(r, true, {entry(2)}), (Ids{ServerId{1}, ServerId{3}}));
   EXPECT_EQ(r.size(), 1U);
   EXPECT_FALSE(r.contains(ServerId{1}));
 }
-TEST(Roster, ChangesLeaveTheOthersAlone) {
+TEST(Roster, ChangesDoNotAffectOtherOffices) {
   Roster r;
-  tell(r, true, {entry(1), entry(2)});
-  EXPECT_EQ(tell(r, false, {entry(2, ServerState::draining)}), Ids{});  // its calls stand on
+  update(r, true, {entry(1), entry(2)});
+  EXPECT_EQ(update(r, false, {entry(2, ServerState::draining)}), Ids{});  // its calls remain
   EXPECT_TRUE(r.ready(ServerId{1}));
   EXPECT_FALSE(r.ready(ServerId{2}));
   EXPECT_TRUE(r.contains(ServerId{2}));
   EXPECT_EQ(r.unavailable(), 1U);
 }
-TEST(Roster, GoneIsSaidOnceAndOnlyOfWhatWasHeld) {
+TEST(Roster, GoneIsReportedOnceAndOnlyForListedOffices) {
   Roster r;
-  tell(r, true, {entry(1)});
-  EXPECT_EQ(tell(r, false, {entry(1, ServerState::gone), entry(9, ServerState::gone)}), Ids{ServerId{1}});
-  EXPECT_EQ(tell(r, false, {entry(1, ServerState::gone)}), Ids{});
+  update(r, true, {entry(1)});
+  EXPECT_EQ(update(r, false, {entry(1, ServerState::gone), entry(9, ServerState::gone)}), Ids{ServerId{1}});
+  EXPECT_EQ(update(r, false, {entry(1, ServerState::gone)}), Ids{});
   EXPECT_EQ(r.size(), 0U);
 }
-TEST(Roster, AStartAnewEndsTheCallsAndForgetsThatItWasOutOfReach) {
+TEST(Roster, RestartEndsTheCallsAndResetsReachability) {
   Roster r;
-  tell(r, true, {entry(1, ServerState::ready, 10)});
+  update(r, true, {entry(1, ServerState::ready, 10)});
   EXPECT_TRUE(r.set_reachable(ServerId{1}, false));
   EXPECT_EQ(r.unavailable(), 1U);
-  EXPECT_EQ(tell(r, false, {entry(1, ServerState::ready, 10)}), Ids{});  // told again: nothing is new
+  EXPECT_EQ(update(r, false, {entry(1, ServerState::ready, 10)}), Ids{});  // repeated: nothing is new
   EXPECT_EQ(r.unavailable(), 1U);
-  EXPECT_EQ(tell(r, false, {entry(1, ServerState::ready, 11)}), Ids{ServerId{1}});
+  EXPECT_EQ(update(r, false, {entry(1, ServerState::ready, 11)}), Ids{ServerId{1}});
   EXPECT_EQ(r.unavailable(), 0U);
 }
 TEST(Roster, GoneAndBackWithinOneListIsAnotherOffice) {
   Roster r;
-  tell(r, true, {entry(1)});
+  update(r, true, {entry(1)});
   r.set_reachable(ServerId{1}, false);
-  EXPECT_EQ(tell(r, false, {entry(1, ServerState::gone), entry(1)}), Ids{ServerId{1}});
+  EXPECT_EQ(update(r, false, {entry(1, ServerState::gone), entry(1)}), Ids{ServerId{1}});
   EXPECT_TRUE(r.ready(ServerId{1}));
   EXPECT_EQ(r.unavailable(), 0U);
 }
-TEST(Roster, ReachIsSaidOnlyWhereItChangesAndOnlyOfTheListed) {
+TEST(Roster, ReachabilityChangesAreReportedForListedOfficesOnly) {
   Roster r;
-  tell(r, true, {entry(1, ServerState::draining)});
+  update(r, true, {entry(1, ServerState::draining)});
   EXPECT_FALSE(r.set_reachable(ServerId{1}, true));
   EXPECT_FALSE(r.set_reachable(ServerId{7}, false));
   EXPECT_TRUE(r.set_reachable(ServerId{1}, false));
-  EXPECT_EQ(r.unavailable(), 1U);  // draining and out of reach is one office
+  EXPECT_EQ(r.unavailable(), 1U);  // draining and unreachable still count as one office
   EXPECT_TRUE(r.set_reachable(ServerId{1}, true));
 }
 
-// The model holds plain sets, and works each question out from the whole history of one office.
+// The model holds plain sets and derives each answer from the complete history of one office.
 TEST(Roster, LongRandomRunsAgreeWithAPlainModel) {
   constexpr unsigned kSeed = 20261201;
   SCOPED_TRACE(kSeed);
@@ -98,19 +98,19 @@
         if (!used.insert(id).second) continue;
         entries.push_back(entry(id, static_cast<ServerState>(draw() % 3), draw() % 3));
       }
-      Ids over;
+      Ids ended;
       for (std::uint32_t id = 0; id < 8; ++id) {
         const auto it = std::find_if(entries.begin(), entries.end(),
                                      [id](const ServerEntry& e) { return e.server == ServerId{id}; });
-        const bool said = it != entries.end();
+        const bool listed_now = it != entries.end();
         const bool was = listed.contains(id);
-        const bool goes = said ? it->state == ServerState::gone : complete;
-        const bool anew = said && was && !goes && it->start > listed.at(id).start;
-        if (was && (goes || anew)) over.push_back(ServerId{id}), unreachable.erase(id);
-        if (goes) listed.erase(id);
-        if (said && !goes) listed[id] = *it;
+        const bool removed = listed_now ? it->state == ServerState::gone : complete;
+        const bool restarted = listed_now && was && !removed && it->start > listed.at(id).start;
+        if (was && (removed || restarted)) ended.push_back(ServerId{id}), unreachable.erase(id);
+        if (removed) listed.erase(id);
+        if (listed_now && !removed) listed[id] = *it;
       }
-      ASSERT_EQ(tell(roster, complete, entries), over) << step;
+      ASSERT_EQ(update(roster, complete, entries), ended) << step;
     }
     std::size_t avoided = 0;
     for (const auto& [id, e] : listed)
--- a/tests/membership/watch_pacing_test.cpp
+++ b/tests/membership/watch_pacing_test.cpp
@@ -1,4 +1,4 @@
-// The spans of a watch on discovery, at their bounds.
+// Timeouts and back-off of a watch on discovery, at their bounds.
 #include "membership/watch_pacing.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(WatchBackoff, PausesDoubleToTheLongestAndBeginAnewOnceAFrameHasCome) {
+TEST(WatchBackoff, PausesDoubleToTheMaximumAndRestartOnceAFrameHasArrived) {
   WatchBackoff p;
   EXPECT_EQ(p.pause(1.0), 150ms);
   p.failed();
@@ -20,17 +20,17 @@
   p.frame_received();
   EXPECT_EQ(p.pause(1.0), 150ms);
 }
-TEST(WatchBackoff, PausesAreSpreadOverHalfOfTheSpan) {
+TEST(WatchBackoff, PausesAreSpreadOverHalfOfTheirMaximum) {
   WatchBackoff p;
   EXPECT_EQ(p.pause(0.0), 75ms);
   EXPECT_GT(p.pause(0.6), p.pause(0.5));
 }
-TEST(WatchBackoff, AConnectionThatIsSlowToComeUpGetsMoreTimeAndOneThatIsUpLessAgain) {
+TEST(WatchBackoff, ConnectTimeoutGrowsAfterTimeoutsAndResetsOnSuccess) {
   WatchBackoff p;
   EXPECT_EQ(p.connect_timeout(), 500ms);
   p.connect_timed_out();
   EXPECT_EQ(p.connect_timeout(), 1s);
-  p.failed();  // refused, closed or silent says nothing of that
+  p.failed();  // a refusal, close or silence does not affect it
   EXPECT_EQ(p.connect_timeout(), 1s);
   for (int i = 0; i < 1000; ++i) p.connect_timed_out();
   EXPECT_EQ(p.connect_timeout(), 2s);
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules as one tree: one spelling, digests of three levels, read back and laid over, and their bounds.
+// Rules: canonical values, digests at three levels, conversion from and to settings, and bounds.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -23,7 +23,7 @@
 }
 const std::vector<std::string> kNames{"voice", "Alta prioridad"};
 
-TEST(Rules, ASpellingIsTheOnlyOne) {
+TEST(Rules, CanonicalFormIsTheOnlyOne) {
   EXPECT_EQ(to_canonical(300ms), "300000000ns");
   EXPECT_EQ(to_canonical(0.1), "0.1");
   EXPECT_EQ(to_canonical(-0.0), "0");
@@ -38,7 +38,7 @@
   EXPECT_FALSE(is_word(std::string(257, 'x')));
 }
 
-TEST(Rules, DigestsDoNotDependOnTheOrderOfPutting) {
+TEST(Rules, DigestsDoNotDependOnTheOrderOfInsertion) {
   const Tree a = rules_of(settings(), kNames);
   std::vector<std::pair<std::string, std::string>> rules(a.rules().begin(), a.rules().end());
   std::mt19937 draws(20261202);
@@ -51,48 +51,48 @@
   }
 }
 
-TEST(Rules, OneKeyThatDiffersIsFoundByItsSectionAlone) {
+TEST(Rules, DifferingKeyIsFoundByComparingItsSectionOnly) {
   const Tree a = rules_of(settings(), kNames);
   for (const auto& [key, value] : a.rules()) {
     Tree b;
     for (const auto& [k, v] : a.rules()) ASSERT_TRUE(b.put(k, k == key ? v + "0" : v));
     EXPECT_NE(a.digest(), b.digest()) << key;
-    std::size_t looked = 0;
-    const auto found = differences(a, b, &looked);
+    std::size_t compared = 0;
+    const auto found = differences(a, b, &compared);
     ASSERT_EQ(found.size(), 1U) << key;
     EXPECT_EQ(found[0], (Difference{key, value, value + "0"}));
-    EXPECT_EQ(looked, 1U);
+    EXPECT_EQ(compared, 1U);
   }
-  std::size_t looked = 1;
-  EXPECT_TRUE(differences(a, a, &looked).empty());
-  EXPECT_EQ(looked, 0U);
+  std::size_t compared = 1;
+  EXPECT_TRUE(differences(a, a, &compared).empty());
+  EXPECT_EQ(compared, 0U);
 }
 
-TEST(Rules, AKeyMoreOrLessDiffers) {
+TEST(Rules, ExtraOrMissingKeyIsADifference) {
   Tree a, b;
   ASSERT_TRUE(a.put("class.voice.aim", "1ns"));
   ASSERT_TRUE(b.put("class.voice.aim", "1ns"));
   ASSERT_TRUE(b.put("class.vioce.aim", "1ns"));
   EXPECT_EQ(differences(a, b), (std::vector<Difference>{{"class.vioce.aim", std::nullopt, "1ns"}}));
   EXPECT_EQ(differences(b, a), (std::vector<Difference>{{"class.vioce.aim", "1ns", std::nullopt}}));
-  // The bytes are the same where an end is not counted.
+  // The concatenated bytes are the same; the lengths differ.
   EXPECT_NE(digest_of("ab", "c"), digest_of("a", "bc"));
   const Rules governed{{"class.voice.aim", "1ns"}, {"class.vioce.aim", "1ns"}};
   EXPECT_EQ(digest_of(governed, b), digest_of(governed));
-  EXPECT_NE(digest_of(governed, a), digest_of(governed)) << "what is not there is no value";
+  EXPECT_NE(digest_of(governed, a), digest_of(governed)) << "an absent key differs from any value";
 }
 
-TEST(Rules, KeysAndNamesAreHeldToTheirForm) {
+TEST(Rules, InvalidKeysAndNamesAreRejected) {
   Tree t;
   for (const char* key : {"", ".a", "a.", "a..b", "a b", "A", "a\n"}) EXPECT_FALSE(t.put(key, "x")) << key;
   EXPECT_TRUE(t.put("a.b_c-1", "x"));
-  EXPECT_FALSE(t.put("a.b_c-1", "y")) << "there already";
+  EXPECT_FALSE(t.put("a.b_c-1", "y")) << "already present";
   EXPECT_EQ(escape_name("Alta prioridad"), "~41lta~20prioridad");
   EXPECT_NE(escape_name("a~41"), escape_name("aA"));
   EXPECT_TRUE(is_key("class." + escape_name("v.1/\xc3\xb1") + ".aim"));
 }
 
-TEST(Rules, WhatIsReadBackCanBeLaidOverAndNothingElse) {
+TEST(Rules, RulesOfSettingsCanBeAppliedAndNothingElse) {
   const Tree wanted = rules_of(settings(), kNames);
   Settings other;
   other.classes.resize(2);
@@ -103,7 +103,7 @@
     EXPECT_TRUE(rule_info(key, kNames, 1)) << key;
   }
   EXPECT_EQ(rules_of(other, kNames), wanted);
-  EXPECT_EQ(other.own_place, 7) << "a controller's own";
+  EXPECT_EQ(other.own_place, 7) << "a controller's own setting";
   EXPECT_EQ(apply_rule(other, kNames, "module.atempts", "5"), "module.atempts: is no rule");
   EXPECT_EQ(apply_rule(other, kNames, "class.video.aim", "1ns"), "class.video.aim: is no rule");
   EXPECT_EQ(apply_rule(other, kNames, "tenant.1.quota", "1"), "tenant.1.quota: is no rule");
@@ -112,11 +112,11 @@
   EXPECT_EQ(apply_rule(other, kNames, "module.attempts", "4294967296"),
             "module.attempts: must be a count in its range, not '4294967296'");
   EXPECT_NE(apply_rule(other, kNames, "class.voice.places", "1,,2"), "");
-  EXPECT_NE(apply_rule(other, kNames, "classes", "voice"), "") << "a version changes no classes";
-  EXPECT_EQ(rules_of(other, kNames), wanted) << "what was refused has changed nothing";
+  EXPECT_NE(apply_rule(other, kNames, "classes", "voice"), "") << "classes cannot be changed";
+  EXPECT_EQ(rules_of(other, kNames), wanted) << "refused rules have changed nothing";
 }
 
-TEST(Rules, AnExtraClassShowsByTheListOfClasses) {
+TEST(Rules, ExtraClassShowsInTheListOfClasses) {
   Settings more = settings();
   more.classes.push_back(more.classes[0]);
   const Rules governed{{"classes", *rules_of(settings(), kNames).value("classes")}};
@@ -124,7 +124,7 @@
   EXPECT_EQ(differences(extra, governed).size(), 1U);
 }
 
-TEST(Rules, BoundsOfThePlatformAreCriticalWhoeverApprovedThem) {
+TEST(Rules, ViolatedPlatformBoundsAreCritical) {
   Settings s = settings();
   EXPECT_TRUE(violated_bounds(rules_of(s, kNames)).empty());
   s.attempts_cap = 6;
@@ -142,8 +142,8 @@
   EXPECT_EQ(severity_of("fleet.period", "1ns"), Severity::notice);
 }
 
-// What the module says that it holds is what it was given, whole: not a copy that somebody else keeps.
-TEST(Rules, TheModuleIsReadBackFromItself) {
+// The module reports the complete settings that it was given, from its own state rather than from a copy.
+TEST(Rules, RulesAreReadFromTheModuleItself) {
   const Controller controller(settings(), 1);
   EXPECT_EQ(rules_of(controller.settings(), kNames), rules_of(settings(), kNames));
 }
--- a/tests/system_calls/trunk_exchange.cpp
+++ b/tests/system_calls/trunk_exchange.cpp
@@ -83,7 +83,7 @@
   const faults::ProgramCalls counted;
   near.start(*dialling);
   far.start(*far_sides_);
-  far_list_.told(core::Source::platform, true, {{{kEndpoint, kPlace}, "endpoint"}});
+  far_list_.update(core::Source::platform, true, {{{kEndpoint, kPlace}, "endpoint"}});
   listening->open();
   dialling->open();
 }
@@ -144,7 +144,7 @@
   invite(4, TrunkEndpoint::kSilent);
   EXPECT_TRUE(until(
       [this] { return endpoint->seen.of(CallId{4}).starts > 0 || caller.seen.of(CallId{4}).refusals > 0; }));
-  near.give_up(CallId{4}, caller);
+  near.cancel(CallId{4}, caller);
   invite(5, TrunkEndpoint::kAnswers);
   invite(6, TrunkEndpoint::kAnswers);
   EXPECT_TRUE(await_final(5));
