--- a/src/core/admit.cpp
+++ b/src/core/admit.cpp
@@ -22,7 +22,7 @@
   record.admitted_at = now_;
   if (!record.request.class_known) return finish(record, Phase::failed, FailureReason::unknown_class, {});
   if (deadline <= now_) return finish(record, Phase::failed, FailureReason::deadline_passed, {});
-  record.deadline_timer =
+  record.expiry_timer =
       timers_.emplace(deadline, Timer{Timer::Kind::deadline, static_cast<std::uint64_t>(call), 0, {}});
   events_.emplace_back(record.request.arrival);
 }
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -59,7 +59,7 @@
 
 // Retains the record of an ended call for a while, without the data that only an open call needs.
 void Core::retain_ended(Record& record) {
-  cancel_deadline_timer(record);
+  cancel_expiry_timer(record);
   record.request.description = {};
   retained_.emplace_back(now_ + kRetention, record.request.arrival.call);
   while (!retained_.empty() && (retained_.size() > kMaxRetained || retained_.front().first <= now_)) {
@@ -68,9 +68,9 @@
     retained_.pop_front();
   }
 }
-void Core::cancel_deadline_timer(Record& record) {
-  if (record.deadline_timer) timers_.erase(*record.deadline_timer);
-  record.deadline_timer.reset();
+void Core::cancel_expiry_timer(Record& record) {
+  if (record.expiry_timer) timers_.erase(*record.expiry_timer);
+  record.expiry_timer.reset();
 }
 
 void Core::end_established(Record& record) {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -182,7 +182,7 @@
     std::optional<Attempt> pending;
     ServerId office{};
     std::string answer;
-    std::optional<std::multimap<Time, Timer>::iterator> deadline_timer;
+    std::optional<std::multimap<Time, Timer>::iterator> expiry_timer;
   };
   using Task = std::function<void()>;
 
@@ -211,7 +211,7 @@
   void finish(Record& record, Phase phase, FailureReason reason, Duration retry_after);
   void end_established(Record& record);
   void retain_ended(Record& record);
-  void cancel_deadline_timer(Record& record);
+  void cancel_expiry_timer(Record& record);
   void drop_calls_at(ServerId office);
   void apply_list(bool complete, const std::vector<OfficeEntry>& offices);
   void change_established_count(ServerId office, int change);
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -34,7 +34,7 @@
   r->phase = Phase::established;
   r->office = office;
   r->answer = std::move(description);
-  cancel_deadline_timer(*r);
+  cancel_expiry_timer(*r);
   ++established_calls_;
   --open_calls_;
   ++counts_.established;
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -154,7 +154,7 @@
         break;
       case Timer::Kind::deadline:
         if (Record* r = find(call); r != nullptr && r->phase == Phase::open) {
-          r->deadline_timer.reset();  // this timer has just been removed
+          r->expiry_timer.reset();  // this timer has just been removed
           events_.emplace_back(CallerLeft{call});
           cancel_attempt(*r, AttemptOutcome::timeout, true);
           finish(*r, Phase::failed, FailureReason::deadline_passed, {});
