--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -60,7 +60,7 @@
 
 void Roster::check_invariants() const {
   for (const auto& [id, member] : members_) {
-    if (member.entry.server != id) throw std::logic_error("an entry is stored under another office's id");
+    if (member.entry.server != id) throw std::logic_error("an entry stands under another office's id");
     if (member.entry.state == ServerState::gone)
       throw std::logic_error("an office that has gone is still listed");
   }
