--- a/src/clocks/start_times.h
+++ b/src/clocks/start_times.h
@@ -5,24 +5,25 @@
 // is retained for that endpoint and start: neither a repeated report nor a step of the wall clock moves it.
 //
 // Our wall clock may be wrong, so each rule errs towards a young process, which gets a slow start, rather
-// than towards an old one, which would get its full load cold:
-//   - Two offsets of the wall clock (wall minus monotonic) are candidates, that at the program's start and
-//   the present
-//     one: a step between them makes one of them wrong. The one that gives the smaller age counts; no age is
-//     negative.
-//   - A start that discovery names cannot lie in discovery's future: the largest (start minus monotonic time
-//   on
-//     receipt) is a lower bound of the true offset. Without it, a wall clock an hour behind would make every
-//     process look newly started; with it, ages are relative to the youngest process. Only discovery's own
-//     starts count.
-//   - A start newer than those known of its endpoint, or of an unknown endpoint, while discovery is followed:
-//   discovery
-//     has reported it within kMaxDiscoveryDelay, so its age is at most that plus the time since discovery was
-//     last known to be followed. Discovery's first list describes the time of the program's start, so from
-//     then on discovery counts as followed at that moment.
-//   - Discovery knows nothing of an endpoint that registers itself. Its newer start is no older than the time
-//   since the
-//     previous process was last reported, plus the same allowance for noticing that it had ended.
+// than towards an old one, which would get its full load cold.
+//
+// Offset. Two offsets of the wall clock (wall minus monotonic) are candidates, that at the program's start
+// and the present one, since a step between them makes one of them wrong. The one that gives the smaller age
+// counts; no age is negative.
+//
+// Lower bound. A start that discovery names cannot lie in discovery's future: the largest (start minus
+// monotonic time on receipt) is a lower bound of the true offset. Without it, a wall clock an hour behind
+// would make every process look newly started; with it, ages are relative to the youngest process. Only
+// discovery's own starts count.
+//
+// New starts. A start newer than those known of its endpoint, or of an unknown endpoint, while discovery is
+// followed: discovery has reported it within kMaxDiscoveryDelay, so its age is at most that plus the time
+// since discovery was last known to be followed. Discovery's first list describes the time of the program's
+// start, so from then on discovery counts as followed at that moment.
+//
+// Registrations. Discovery knows nothing of an endpoint that registers itself. Its newer start is no older
+// than the time since the previous process was last reported, plus the same allowance for noticing that it
+// had ended.
 //
 // Reads no clock and performs no I/O. Deterministic. Not thread-safe: its owner calls it under a lock.
 #pragma once
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,7 +1,7 @@
 // The core of the controller: one thread that owns the call table, the timers and the Controller.
 //
-// Invariants: each call gets exactly one final answer and has at most one attempt outstanding; a cancelled
-// attempt is cancelled at its office before the decision module is notified.
+// Invariants: each call gets exactly one final answer and has at most one attempt outstanding; when an
+// attempt is cancelled, its office is notified before the decision module.
 // Wire formats, sockets and JSON belong to the frontends and backends. The core never blocks on a peer.
 // Thread safety: public functions may be called from any thread unless noted; only the core's thread accesses
 // the call table. One source file per stage of a request: take_in, admit, route, send, relay and book.
--- a/src/limits/patience.h
+++ b/src/limits/patience.h
@@ -13,7 +13,7 @@
 namespace reeltack::limits {
 
 struct PeerTimeoutSettings {
-  // From a message's first byte to its last, and from the connection to its first complete message.
+  // From a message's first byte to its last; also from the connection to the first byte of the first message.
   Duration message = std::chrono::seconds(2);
   // With so much unread output that nothing more is read from the peer.
   Duration unread_output = std::chrono::seconds(2);
--- a/src/membership/reach.cpp
+++ b/src/membership/reach.cpp
@@ -70,8 +70,8 @@
 
 Time Reachability::dial_at(bool set_ups_waiting, bool releases_waiting) const {
   if (set_ups_waiting) return Time{};  // at once
-  const bool wanted = !gone_ && !dead_ && (ready_ || calls_established_ || releases_waiting);
-  return wanted ? retry_at_ : Time::max();
+  const bool needed = !gone_ && !dead_ && (ready_ || calls_established_ || releases_waiting);
+  return needed ? retry_at_ : Time::max();
 }
 
 Time Reachability::probe_at() const {
--- a/src/rules/catalogue.cpp
+++ b/src/rules/catalogue.cpp
@@ -214,13 +214,13 @@
   return out;
 }
 
-Severity severity_of(std::string_view key, const std::optional<std::string>& is) {
+Severity severity_of(std::string_view key, const std::optional<std::string>& actual) {
   if (key == "module.attempts") {
-    const auto cap = read_count(is.value_or(""));
+    const auto cap = read_count(actual.value_or(""));
     return !cap || *cap < 1 || *cap > kMaxAttempts ? Severity::critical : Severity::major;
   }
   if (key == "module.release_guard") {
-    const auto guard = read_duration(is.value_or(""));
+    const auto guard = read_duration(actual.value_or(""));
     return !guard || *guard < kMinReleaseGuard ? Severity::critical : Severity::major;
   }
   if (key.starts_with("module."))
--- a/src/rules/catalogue.h
+++ b/src/rules/catalogue.h
@@ -51,8 +51,8 @@
 // Violations of bounds that hold for every controller, even for approved rules: more than five attempts, a
 // release guard under 300 ms, a class whose aim is longer than its deadline. One line each.
 [[nodiscard]] std::vector<std::string> violated_bounds(const Tree& tree);
-// How much it matters that `key` is `is` (none: not there) where another value is wanted: critical where it
-// breaks one of those bounds by itself.
-[[nodiscard]] Severity severity_of(std::string_view key, const std::optional<std::string>& is);
+// The severity of `key` having the value `actual` (nothing: absent) where another one is expected: critical
+// if it violates one of those bounds by itself.
+[[nodiscard]] Severity severity_of(std::string_view key, const std::optional<std::string>& actual);
 
 }  // namespace reeltack::rules
--- a/src/rules/value.h
+++ b/src/rules/value.h
@@ -2,9 +2,10 @@
 // rejected.
 //
 //   duration  whole nanoseconds          300000000ns
-//   number    the shortest text that reads back as the same number (std::to_chars); no -0, no infinity, no
-//   NaN count     decimal digits             5 flag      yes, no word      unchanged: 1 to 256 bytes, no
-//   control characters
+//   number    the shortest that reads back (std::to_chars); no -0, no infinity, no NaN
+//   count     decimal digits             5
+//   flag      yes, no
+//   word      unchanged: 1 to 256 bytes, no control characters
 //
 // Thread safety: stateless functions. Errors: the read functions return nothing unless the text is canonical.
 #pragma once
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -93,16 +93,16 @@
 }
 
 TEST(Rules, RulesOfSettingsCanBeAppliedAndNothingElse) {
-  const Tree wanted = rules_of(settings(), kNames);
+  const Tree expected = rules_of(settings(), kNames);
   Settings other;
   other.classes.resize(2);
   other.tenants.resize(1);
   other.own_place = 7;
-  for (const auto& [key, value] : wanted.rules()) {
+  for (const auto& [key, value] : expected.rules()) {
     EXPECT_EQ(apply_rule(other, kNames, key, value), "") << key;
     EXPECT_TRUE(rule_info(key, kNames, 1)) << key;
   }
-  EXPECT_EQ(rules_of(other, kNames), wanted);
+  EXPECT_EQ(rules_of(other, kNames), expected);
   EXPECT_EQ(other.own_place, 7) << "a controller's own setting";
   EXPECT_EQ(apply_rule(other, kNames, "module.atempts", "5"), "module.atempts: is no rule");
   EXPECT_EQ(apply_rule(other, kNames, "class.video.aim", "1ns"), "class.video.aim: is no rule");
@@ -113,7 +113,7 @@
             "module.attempts: must be a count in its range, not '4294967296'");
   EXPECT_NE(apply_rule(other, kNames, "class.voice.places", "1,,2"), "");
   EXPECT_NE(apply_rule(other, kNames, "classes", "voice"), "") << "classes cannot be changed";
-  EXPECT_EQ(rules_of(other, kNames), wanted) << "refused rules have changed nothing";
+  EXPECT_EQ(rules_of(other, kNames), expected) << "refused rules have changed nothing";
 }
 
 TEST(Rules, ExtraClassShowsInTheListOfClasses) {
