--- a/tests/clocks/core_steps_test.cpp
+++ b/tests/clocks/core_steps_test.cpp
@@ -85,9 +85,9 @@
 };
 
 // One run of a core on the frozen clock, with a step of the wall clock at one of its stages.
-class Run {
+class CoreRun {
  public:
-  Run(Stage stage, Duration step) : stage_(stage), step_(step) {
+  CoreRun(Stage stage, Duration step) : stage_(stage), step_(step) {
     core_.start(recorder_);
     play();
     core_.stop();
@@ -190,7 +190,7 @@
 
 // Verifies that the steps of the other test come at the stages that they name.
 TEST_F(CoreSteps, EachStageIsReached) {
-  const Run run(Stage::none, {});
+  const CoreRun run(Stage::none, {});
   const Recorder& r = run.recorder();
   std::string all;
   for (const std::string& note : r.notes()) all += note + "\n";
@@ -214,12 +214,12 @@
 }
 
 TEST_F(CoreSteps, StepsOfTheWallClockChangeNothingAtAnyStage) {
-  const Run unstepped(Stage::none, {});
+  const CoreRun unstepped(Stage::none, {});
   for (const Stage stage : kStages) {
     for (const Duration step : kSteps) {
       SCOPED_TRACE("stage " + std::to_string(static_cast<int>(stage)) + ", step " +
                    std::to_string(step / 1s));
-      const Run stepped(stage, step);
+      const CoreRun stepped(stage, step);
       EXPECT_EQ(stepped.recorder().notes(), unstepped.recorder().notes());
     }
   }
