--- a/tests/fleet/governed_list_test.cpp
+++ b/tests/fleet/governed_list_test.cpp
@@ -26,9 +26,9 @@
     ++times;
   }
   void start(const SetUp& /*set_up*/) override {}
-  void give_up(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
+  void cancel(ServerId /*office*/, CallId /*call*/, std::uint32_t /*attempt*/) override {}
   void release(ServerId /*office*/, CallId /*call*/) override {}
-  void keep(ServerId /*office*/, bool /*calls_established*/) override {}
+  void keep_connection(ServerId /*office*/, bool /*calls_established*/) override {}
   std::map<ServerId, ServerState> state;
   int times = 0;
 };
@@ -39,8 +39,8 @@
     live_lists += live ? 1 : 0;
     for (const OfficeEntry& o : offices) state[o.entry.server] = o.entry.state;
   }
-  void silent() override { ++silences; }
-  void restarted() override { ++restarts; }
+  void source_lost() override { ++silences; }
+  void source_restarted() override { ++restarts; }
   std::map<ServerId, ServerState> state;
   int complete_lists = 0, live_lists = 0, silences = 0, restarts = 0;
 };
@@ -59,73 +59,74 @@
 };
 
 TEST_F(ArbitratedList, ReadyWaitsForTheArbiterAndTheRestPassesAtOnce) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
   EXPECT_FALSE(backend.state.contains(ServerId{1}));
   EXPECT_EQ(backend.state.at(ServerId{2}), ServerState::draining);
   EXPECT_EQ(arbiter.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(arbiter.complete_lists, 1);
-  list.settled({office(1, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(ArbitratedList, AnArbiterDecisionThatCrossedALaterReportRevivesNothing) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.told(Source::platform, false, {office(1, ServerState::draining), office(2, ServerState::gone)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.update(Source::platform, false, {office(1, ServerState::draining), office(2, ServerState::gone)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready), office(2, ServerState::draining)});  // crossed the report
+  list.apply_decision(
+      {office(1, ServerState::ready), office(2, ServerState::draining)});  // crossed the report
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
   EXPECT_EQ(backend.state.at(ServerId{2}), ServerState::gone);
 }
 
 TEST_F(ArbitratedList, ANewerStartRevives) {
-  list.told(Source::platform, false, {office(1, ServerState::gone, 1000)});
-  list.settled({office(1, ServerState::ready, 1000)});
+  list.update(Source::platform, false, {office(1, ServerState::gone, 1000)});
+  list.apply_decision({office(1, ServerState::ready, 1000)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::gone);
-  list.settled({office(1, ServerState::ready, 2000)});
+  list.apply_decision({office(1, ServerState::ready, 2000)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(ArbitratedList, TheArbiterDecidesOnOfficesThatACompleteListOmits) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.settled({office(1, ServerState::ready), office(2, ServerState::ready)});
-  list.told(Source::platform, true, {office(2, ServerState::ready)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.apply_decision({office(1, ServerState::ready), office(2, ServerState::ready)});
+  list.update(Source::platform, true, {office(2, ServerState::ready)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(arbiter.state.at(ServerId{1}),
             ServerState::ready);  // it received only office 2, in a complete list
   EXPECT_EQ(arbiter.complete_lists, 2);
-  list.settled({office(1, ServerState::draining)});
+  list.apply_decision({office(1, ServerState::draining)});
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::draining);
-  list.settled({office(1, ServerState::ready)});  // another member's list has won
+  list.apply_decision({office(1, ServerState::ready)});  // another member's list has won
   EXPECT_EQ(backend.state.at(ServerId{1}), ServerState::ready);
 }
 
 TEST_F(ArbitratedList, AllListedOfficesArePassedAsLiveOnceTheSourceIsFollowed) {
-  list.told(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
+  list.update(Source::platform, true, {office(1, ServerState::ready), office(2, ServerState::draining)});
   EXPECT_EQ(arbiter.live_lists, 0);
   arbiter.state.clear();
-  list.live(true);
-  list.live(true);
+  list.set_followed(true);
+  list.set_followed(true);
   EXPECT_EQ(arbiter.live_lists, 1);
   EXPECT_EQ(arbiter.state.at(ServerId{1}), ServerState::ready);
   EXPECT_EQ(arbiter.state.at(ServerId{2}), ServerState::draining);
-  list.live(false);
+  list.set_followed(false);
   EXPECT_EQ(arbiter.silences, 1);
 }
 
 TEST_F(ArbitratedList, ARestartedSourceIsFollowedOnceCaughtUpWithoutOfficesItNoLongerLists) {
-  list.told(Source::platform, true,
-            {office(1, ServerState::ready), office(2, ServerState::ready), office(3, ServerState::ready)});
-  list.live(true);
-  list.restarted();
-  list.live(false);
+  list.update(Source::platform, true,
+              {office(1, ServerState::ready), office(2, ServerState::ready), office(3, ServerState::ready)});
+  list.set_followed(true);
+  list.source_restarted();
+  list.set_followed(false);
   arbiter.state.clear();
-  list.told(Source::platform, true, {office(1, ServerState::ready)});
-  list.live(true);  // after one frame; more may follow
+  list.update(Source::platform, true, {office(1, ServerState::ready)});
+  list.set_followed(true);  // after one frame; more may follow
   EXPECT_EQ(arbiter.live_lists, 1);
   EXPECT_EQ(arbiter.state.count(ServerId{2}), 0U) << "not received yet, so not reported as gone";
-  list.told(Source::platform, false, {office(2, ServerState::ready)});
-  list.caught_up();
+  list.update(Source::platform, false, {office(2, ServerState::ready)});
+  list.source_caught_up();
   EXPECT_EQ(arbiter.live_lists, 2);
   EXPECT_EQ(arbiter.restarts, 1);
   EXPECT_EQ(arbiter.state.size(), 2U);
@@ -133,7 +134,7 @@
 }
 
 TEST_F(ArbitratedList, OtherSourcesPassUnchanged) {
-  list.told(Source::registered, false, {office(7, ServerState::ready)});
+  list.update(Source::registered, false, {office(7, ServerState::ready)});
   EXPECT_EQ(backend.state.at(ServerId{7}), ServerState::ready);
   EXPECT_TRUE(arbiter.state.empty());
 }
