--- a/src/config/controllers.cpp
+++ b/src/config/controllers.cpp
@@ -88,7 +88,7 @@
     const json probes = top.value("probes", json::object());
     t.members.period = span_above_zero(probes, "/fleet/probes", "period", t.members.period);
     t.members.probe_timeout = span_above_zero(probes, "/fleet/probes", "timeout", t.members.probe_timeout);
-    t.members.indirect = probes.value("indirect", t.members.indirect);
+    t.members.indirect_probes = probes.value("indirect", t.members.indirect_probes);
     if (t.members.probe_timeout >= t.members.period)
       fail("/fleet/probes/timeout", "must be shorter than the period of " +
                                         yaml::show_span(t.members.period) +
--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -20,7 +20,7 @@
 const rules::Entry<T> kTerms[] = {
     entry<T, &T::members, &Members::period>("period"),
     entry<T, &T::members, &Members::probe_timeout>("probe_timeout"),
-    entry<T, &T::members, &Members::indirect>("indirect", Severity::notice),
+    entry<T, &T::members, &Members::indirect_probes>("indirect", Severity::notice),
     entry<T, &T::pace, &Pace::every>("every", Severity::notice),
     entry<T, &T::pace, &Pace::urgent>("urgent", Severity::notice),
     entry<T, &T::pace, &Pace::bytes>("bytes", Severity::notice),
--- a/src/fleet/drift/drift.cpp
+++ b/src/fleet/drift/drift.cpp
@@ -5,7 +5,7 @@
 namespace reeltack::fleet::drift {
 namespace {
 
-constexpr std::size_t kMostSeen = 8192;  // members of now and of before
+constexpr std::size_t kMaxMemberRules = 8192;  // present and former members
 
 }  // namespace
 
@@ -15,17 +15,17 @@
 void Drift::on(Time now, const Event& event, Actions& actions) {
   if (started_ == Time::min()) {
     started_ = now;
-    own_.lives(now, true);
+    own_rules_.set_alive(now, true);
   }
   std::visit([&](const auto& e) { take(now, e, actions); }, event);
-  settle(now, actions);
+  update(now, actions);
 }
 
 void Drift::tick(Time now, Actions& actions) {
-  if (started_ != Time::min()) settle(now, actions);
+  if (started_ != Time::min()) update(now, actions);
 }
 
-void Drift::take(Time /*now*/, const Restored& restored, Actions& actions) {
+void Drift::take(Time /*now*/, const RecordsRestored& restored, Actions& actions) {
   const auto read = [this](const std::optional<std::string>& text) {
     auto out = text ? read_version(*text) : std::nullopt;
     counts_.malformed += text && !out ? 1 : 0;
@@ -34,163 +34,169 @@
   const auto vote = restored.vote ? read_vote(*restored.vote) : std::nullopt;
   counts_.malformed += restored.vote && !vote ? 1 : 0;
   auto held = read(restored.held), approved = read(restored.approved);
-  // A record without the others it belongs to is of a write that was cut between: the vote stands.
-  if (held && (!vote || name_of(*held) != vote->vote)) held.reset();
+  // A held content that does not match the vote is from an interrupted write: the vote is valid.
+  if (held && (!vote || id_of(*held) != vote->vote)) held.reset();
   held_since_start_ = approved.has_value();
   approval_.restore(vote.value_or(Vote{}), std::move(held), std::move(approved));
   if (approval_.approved())
-    actions.emplace_back(Note{"rules epoch=" + std::to_string(by().epoch) + " reason=\"as kept\""});
+    actions.emplace_back(
+        LogLine{"rules epoch=" + std::to_string(approved_id().epoch) + " reason=\"as kept\""});
 }
 
 void Drift::take(Time /*now*/, const RulesReadBack& read, Actions& /*actions*/) { tree_ = read.tree; }
 
-void Drift::take(Time /*now*/, const Offered& offered, Actions& actions) {
-  const Name name = name_of(offered.version);
-  std::string why;
+void Drift::take(Time /*now*/, const VersionOffered& offered, Actions& actions) {
+  const VersionId id = id_of(offered.version);
+  std::string reason;
   rules::Tree as_tree;
   for (const auto& [key, value] : offered.version.rules)
-    if (!as_tree.put(key, value)) why = key + ": is no rule";
+    if (!as_tree.put(key, value)) reason = key + ": is no rule";
   const auto broken = rules::violated_bounds(as_tree);
-  if (!broken.empty()) why = broken.front();
-  if (why.empty() && name.epoch < by().epoch)
-    why = "epoch " + std::to_string(by().epoch) + " is approved already";
-  if (why.empty() && name.epoch == by().epoch && name != by())
-    why = "this epoch is approved with another content";
-  if (!why.empty()) {
+  if (!broken.empty()) reason = broken.front();
+  if (reason.empty() && id.epoch < approved_id().epoch)
+    reason = "epoch " + std::to_string(approved_id().epoch) + " is approved already";
+  if (reason.empty() && id.epoch == approved_id().epoch && id != approved_id())
+    reason = "this epoch is approved with another content";
+  if (!reason.empty()) {
     ++counts_.refused;
-    actions.emplace_back(Note{"version epoch=" + std::to_string(name.epoch) + " refused=\"" + why + "\""});
+    actions.emplace_back(
+        LogLine{"version epoch=" + std::to_string(id.epoch) + " refused=\"" + reason + "\""});
     return;
   }
   if (!approval_.offer(offered.version)) return;
-  offered_ = name;
-  actions.emplace_back(Note{"version epoch=" + std::to_string(name.epoch) +
-                            " offered=yes rules=" + std::to_string(offered.version.rules.size())});
+  own_offer_ = id;
+  actions.emplace_back(LogLine{"version epoch=" + std::to_string(id.epoch) +
+                               " offered=yes rules=" + std::to_string(offered.version.rules.size())});
 }
 
-void Drift::take(Time /*now*/, const VotePersisted& kept, Actions& /*actions*/) { approval_.kept(kept.vote); }
+void Drift::take(Time /*now*/, const VotePersisted& persisted, Actions& /*actions*/) {
+  approval_.vote_persisted(persisted.vote);
+}
 
-void Drift::take(Time now, const Members& members, Actions& /*actions*/) {
+void Drift::take(Time now, const MembersChanged& members, Actions& /*actions*/) {
   agreed_ = std::max<std::size_t>(members.agreed, 1);
-  std::map<MemberId, Person> before;
-  before.swap(people_);
-  for (const Person& person : members.members) {
-    Seen& seen = seen_[person.id];
-    const auto known = before.find(person.id);
-    if (known != before.end() && known->second.incarnation != person.incarnation) seen.started(now);
-    seen.lives(now, person.alive);
-    people_.emplace(person.id, person);
+  std::map<MemberId, MemberInfo> previous;
+  previous.swap(members_);
+  for (const MemberInfo& member : members.members) {
+    MemberRules& observed = member_rules_[member.id];
+    const auto known = previous.find(member.id);
+    if (known != previous.end() && known->second.incarnation != member.incarnation) observed.on_restart(now);
+    observed.set_alive(now, member.alive);
+    members_.emplace(member.id, member);
   }
-  // Who has left keeps its word and its vote: facts are told once, and those of its next life may have come
-  // before this table, in which it is still gone. A vote is one an epoch for good, wherever who cast it is
-  // now.
-  for (const auto& [id, person] : before)
-    if (!people_.contains(id)) seen_[id].lives(now, false);
+  // The report and vote of a member that has left are retained: facts are passed on once, and those of its
+  // next run may have arrived before this table, in which it is still absent. Its one vote in an epoch is
+  // final, whatever becomes of the member.
+  for (const auto& [id, member] : previous)
+    if (!members_.contains(id)) member_rules_[id].set_alive(now, false);
 }
 
-void Drift::take(Time now, const Told& told, Actions& /*actions*/) {
-  const facts::Fact& fact = told.fact;
+void Drift::take(Time now, const FactReceived& received, Actions& /*actions*/) {
+  const facts::Fact& fact = received.fact;
   if (fact.owner == self_ || fact.deleted) return;
   if (fact.key.kind == facts::Kind::vote) {
-    if (const auto vote = read_vote(fact.value)) return approval_.heard(fact.owner, *vote);
+    if (const auto vote = read_vote(fact.value)) return approval_.receive(fact.owner, *vote);
   } else if (fact.key.kind == facts::Kind::rules) {
-    const auto word = read_word(fact.value);
-    if (word && (seen_.size() < kMostSeen || seen_.contains(fact.owner)))
-      return seen_[fact.owner].said(now, *word, fact.age);
+    const auto report = read_rules_report(fact.value);
+    if (report && (member_rules_.size() < kMaxMemberRules || member_rules_.contains(fact.owner)))
+      return member_rules_[fact.owner].on_report(now, *report, fact.age);
   } else if (fact.key.kind == facts::Kind::version) {
     if (const auto part = read_part(fact.value)) {
-      approval_.heard(fact.owner, fact.key.subject, *part);
+      approval_.receive(fact.owner, fact.key.subject, *part);
       return;
     }
   }
   ++counts_.malformed;
 }
 
-Name Drift::by() const { return approval_.told().approved; }
+VersionId Drift::approved_id() const { return approval_.published().approved; }
 
-Duration Drift::stale() const {
+Duration Drift::stale_after() const {
   return 3 *
-         (settings_.renewal + static_cast<Duration::rep>(people_.size() + 1) * settings_.renewal_a_member);
+         (settings_.renewal + static_cast<Duration::rep>(members_.size() + 1) * settings_.renewal_per_member);
 }
 
-rules::Digest Drift::wanted(const std::string& name, const std::string& zone) const {
+rules::Digest Drift::required_digest(const std::string& name, const std::string& zone) const {
   if (!approval_.approved()) return 0;
-  const auto found = wanted_.find({name, zone});
-  return found != wanted_.end() ? found->second
-                                : rules::digest_of(required_rules(*approval_.approved(), name, zone));
+  const auto found = required_.find({name, zone});
+  return found != required_.end() ? found->second
+                                  : rules::digest_of(required_rules(*approval_.approved(), name, zone));
 }
 
-// After each event: votes, then what follows from them, then what is said, then what is seen.
-void Drift::settle(Time now, Actions& actions) {
-  if (const auto vote = approval_.to_keep()) {
-    actions.emplace_back(Keep{kHeldRecord, write(*approval_.held()), std::nullopt});
-    actions.emplace_back(Keep{kVoteRecord, write(*vote), vote});
+// After each event: votes, then approval and conflicts, then what is published, then the views.
+void Drift::update(Time now, Actions& actions) {
+  if (const auto vote = approval_.take_vote_to_persist()) {
+    actions.emplace_back(Persist{kHeldRecord, write(*approval_.held()), std::nullopt});
+    actions.emplace_back(Persist{kVoteRecord, write(*vote), vote});
   }
-  if (agreed_ > 0 && approval_.settle(agreed_)) adopt(now, actions);
+  if (agreed_ > 0 && approval_.update_approved(agreed_)) on_approved(now, actions);
   if (const Epoch conflict = approval_.conflict(); conflict != conflict_) {
     conflict_ = conflict;
     if (conflict != 0)
-      actions.emplace_back(Note{"version epoch=" + std::to_string(conflict) +
-                                " conflict=yes reason=\"two contents under one epoch: neither is adopted\""});
+      actions.emplace_back(
+          LogLine{"version epoch=" + std::to_string(conflict) +
+                  " conflict=yes reason=\"two contents under one epoch: neither is adopted\""});
   }
-  carry(actions);
-  say(now, actions);
-  look(now, actions);
+  publish_content(actions);
+  publish_own(now, actions);
+  update_views(now, actions);
 }
 
-void Drift::adopt(Time now, Actions& actions) {
+void Drift::on_approved(Time now, Actions& actions) {
   approved_at_ = now;
   held_since_start_ = false;
-  wanted_.clear();
-  actions.emplace_back(Keep{kApprovedRecord, write(*approval_.approved()), std::nullopt});
-  actions.emplace_back(Note{"rules epoch=" + std::to_string(by().epoch) +
-                            " digest=" + std::to_string(by().digest) +
-                            " reason=\"approved by a majority of " + std::to_string(agreed_) + "\""});
+  required_.clear();
+  actions.emplace_back(Persist{kApprovedRecord, write(*approval_.approved()), std::nullopt});
+  actions.emplace_back(LogLine{"rules epoch=" + std::to_string(approved_id().epoch) +
+                               " digest=" + std::to_string(approved_id().digest) +
+                               " reason=\"approved by a majority of " + std::to_string(agreed_) + "\""});
 }
 
-void Drift::say(Time now, Actions& actions) {
-  if (approval_.told() != published_vote_.value_or(Vote{})) {
-    published_vote_ = approval_.told();
+void Drift::publish_own(Time now, Actions& actions) {
+  if (approval_.published() != published_vote_.value_or(Vote{})) {
+    published_vote_ = approval_.published();
     actions.emplace_back(Publish{{facts::Kind::vote, 0}, write(*published_vote_)});
   }
   if (!tree_) return;
-  Word word{by(), 0, tree_->whole(), false, {}};
+  RulesReport report{approved_id(), 0, tree_->whole(), false, {}};
   if (approval_.approved()) {
-    const rules::Rules wanted = required_rules(*approval_.approved(), settings_.name, settings_.zone);
-    word.governed = rules::digest_of(wanted, *tree_);
-    word.named = rules::differences(*tree_, wanted);
-    word.pending = !word.named.empty() && !held_since_start_;
-    if (word.named.size() > kMostNamed) word.named.resize(kMostNamed);
-    for (rules::Difference& d : word.named) d.wanted.reset();  // whoever reads it knows
+    const rules::Rules required = required_rules(*approval_.approved(), settings_.name, settings_.zone);
+    report.governed = rules::digest_of(required, *tree_);
+    report.differing = rules::differences(*tree_, required);
+    report.pending = !report.differing.empty() && !held_since_start_;
+    if (report.differing.size() > kMaxNamedKeys) report.differing.resize(kMaxNamedKeys);
+    for (rules::Difference& d : report.differing) d.wanted.reset();  // readers know the required value
   }
   const Duration renewal =
-      settings_.renewal + static_cast<Duration::rep>(people_.size() + 1) * settings_.renewal_a_member;
-  const bool same = word_ == word;
-  if (same && now < said_at_ + renewal) return;
-  word_ = std::move(word);
-  said_at_ = now;
-  own_.said(now, *word_, {});
-  actions.emplace_back(Publish{{facts::Kind::rules, 0}, write(*word_), same});
+      settings_.renewal + static_cast<Duration::rep>(members_.size() + 1) * settings_.renewal_per_member;
+  const bool same = report_ == report;
+  if (same && now < reported_at_ + renewal) return;
+  report_ = std::move(report);
+  reported_at_ = now;
+  own_rules_.on_report(now, *report_, {});
+  actions.emplace_back(Publish{{facts::Kind::rules, 0}, write(*report_), same});
 }
 
-// The text of what is voted for (or approved last) is carried by few, so that it outlives who offered it.
-void Drift::carry(Actions& actions) {
-  const auto& held =
-      approval_.held() && approval_.told().vote > by() ? approval_.held() : approval_.approved();
-  std::optional<Name> name;
+// The text of the version voted for (or approved last) is published by a few members, so that it outlives the
+// member that offered it.
+void Drift::publish_content(Actions& actions) {
+  const auto& held = approval_.held() && approval_.published().vote > approved_id() ? approval_.held()
+                                                                                    : approval_.approved();
+  std::optional<VersionId> to_publish;
   if (held) {
-    const Name of = name_of(*held);
-    if (offered_ == of || among(of.digest, kCarriers, self_)) name = of;
+    const VersionId id = id_of(*held);
+    if (own_offer_ == id || ranks_among(id.digest, kCarriers, self_)) to_publish = id;
   }
-  if (name == carried_) return;
-  carried_ = name;
+  if (to_publish == published_content_) return;
+  published_content_ = to_publish;
   std::size_t parts = 0;
-  if (name) {
-    for (const Part& part : parts_of(*held))
+  if (to_publish) {
+    for (const VersionPart& part : parts_of(*held))
       actions.emplace_back(Publish{{facts::Kind::version, parts++}, write(part)});
   }
-  for (std::size_t i = parts; i < carried_parts_; ++i)
+  for (std::size_t i = parts; i < published_parts_; ++i)
     actions.emplace_back(Publish{{facts::Kind::version, i}, std::nullopt});
-  carried_parts_ = parts;
+  published_parts_ = parts;
 }
 
 }  // namespace reeltack::fleet::drift
--- a/src/fleet/drift/drift.h
+++ b/src/fleet/drift/drift.h
@@ -1,20 +1,19 @@
-// Which rules each controller of the fleet decides by, against the approved ones, as one controller knows it.
+// Which rules each controller of the fleet decides by, compared with the approved version, as one controller
+// knows it.
 //
-// Told: the own rules as read back from the parts that use them, versions from an operator's file, facts and
-// members. Says: what is to be published, kept and logged. Votes and approval: approval.h; the views of each
-// member and their alarms: views.h; facts: words.h.
+// Input: the process's own rules as read back from the modules that use them, versions from an operator's
+// file, and the facts and states of members. Output: facts to publish, records to store and log lines. Votes
+// and approval are in approval.h, the views of members and their alarms in views.h, the facts in words.h.
 //
-// A vote is published once VotePersisted says that it lasts; where there is no store it never is, and that
-// member counts for no majority. A version is refused whole if a bound of the platform's pages is broken by
-// it. Content is published by who offered it and by kCarriers of the live members, by rendezvous hash, so
-// that the one who offered it may die. An alarm is logged by kWatchers of them, by the same hash over the
-// subject, and by the subject itself.
+// A vote is published once VotePersisted reports that it is durable; without a store it never is, and that
+// member counts towards no majority. A version is rejected completely if it breaks a bound that the platform
+// sets. Its content is published by the member that offered it and by kCarriers of the live members, chosen
+// by rendezvous hashing, so that the offering member may fail. An alarm is logged by kAlarmReporters of them,
+// by the same hash over the subject, and by the subject itself.
 //
-// Owns: the approval, what each member has said, the own word.
-// Must never: do I/O, read a clock, change a rule, or believe what a member says of its being in step.
-//
-// Threads: none. Equal inputs give equal outputs; copyable. Nothing a peer says makes it throw: what cannot
-// be read is counted.
+// No I/O and no clock; rules are never changed here, and a member's own claim to be in step is not believed.
+// Not thread-safe. Equal inputs give equal outputs; copyable. Input from peers never makes it throw: what
+// cannot be decoded is counted.
 #pragma once
 
 #include <array>
@@ -27,60 +26,62 @@
 namespace reeltack::fleet::drift {
 
 inline constexpr std::size_t kCarriers = 3;
-inline constexpr std::size_t kWatchers = 2;
+inline constexpr std::size_t kAlarmReporters = 2;
 inline constexpr const char* kVoteRecord = "drift.vote";
 inline constexpr const char* kHeldRecord = "drift.held";
 inline constexpr const char* kApprovedRecord = "drift.approved";
 
 struct DriftSettings {
   ViewSettings views;
-  Duration renewal = std::chrono::seconds(30);  // of the own word, and longer the larger the fleet is
-  Duration renewal_a_member = std::chrono::milliseconds(200);
-  std::string name, zone;  // the own ones
+  Duration renewal = std::chrono::seconds(30);  // of the own report; increases with the fleet's size
+  Duration renewal_per_member = std::chrono::milliseconds(200);
+  std::string name, zone;  // of this controller
 };
 
 // ---- events
-struct Restored {  // records of the store, as they were; once, before all else
+struct RecordsRestored {  // the records of the store, unchanged; once, before all other events
   std::optional<std::string> vote, held, approved;
 };
-struct RulesReadBack {  // what the process decides by, whole each time
+struct RulesReadBack {  // the rules in use by this process, complete each time
   rules::Tree tree;
 };
-struct Offered {  // from an operator's file
+struct VersionOffered {  // from an operator's file
   Version version;
 };
-struct VotePersisted {
+struct VotePersisted {  // the vote of a Persist action is durable
   Vote vote;
 };
-struct Person {  // of the members' table
+struct MemberInfo {  // from the membership table
   MemberId id{};
   Incarnation incarnation = 0;
   std::string name, zone;
   bool alive = false;
 };
-struct Members {  // all that have not left, after each change, without oneself; `agreed`: the fleet's size
-  std::vector<Person> members;
+// All members that have not left, without this one, after each change; `agreed`: the agreed fleet size.
+struct MembersChanged {
+  std::vector<MemberInfo> members;
   std::size_t agreed = 1;
 };
-struct Told {  // a fact of another: vote, rules or version
+struct FactReceived {  // of another member: vote, rules or version
   facts::Fact fact;
 };
-using Event = std::variant<Restored, RulesReadBack, Offered, VotePersisted, Members, Told>;
+using Event =
+    std::variant<RecordsRestored, RulesReadBack, VersionOffered, VotePersisted, MembersChanged, FactReceived>;
 
 // ---- actions
 struct Publish {
   facts::Key key;
-  std::optional<std::string> value;  // none: erased
-  bool renewal = false;              // nothing new: it may take its time
+  std::optional<std::string> value;  // none: erase the fact
+  bool renewal = false;              // nothing has changed: not urgent
 };
-struct Keep {  // in the store
+struct Persist {  // in the store
   std::string key, value;
-  std::optional<Vote> vote;  // to be told by VotePersisted once it lasts
+  std::optional<Vote> vote;  // to be reported by VotePersisted once it is durable
 };
-struct Note {
-  std::string text;  // for the log, as key=value words
+struct LogLine {
+  std::string text;  // in the form key=value
 };
-using Action = std::variant<Publish, Keep, Note>;
+using Action = std::variant<Publish, Persist, LogLine>;
 using Actions = std::vector<Action>;
 
 struct Counts {
@@ -96,55 +97,55 @@
 
   [[nodiscard]] const std::optional<Version>& approved() const { return approval_.approved(); }
   [[nodiscard]] Epoch conflict() const { return approval_.conflict(); }
-  [[nodiscard]] const std::optional<Word>& word() const { return word_; }
-  // Of all members, oneself included; index: View.
-  struct Figures {
+  [[nodiscard]] const std::optional<RulesReport>& report() const { return report_; }
+  // Over all members, this one included; indexed by View.
+  struct ViewCounts {
     std::array<std::uint64_t, kViews> views{};
-    std::uint64_t alarmed = 0, critical = 0;  // critical: of the alarmed
+    std::uint64_t alarmed = 0, critical = 0;  // critical: those of the alarmed
   };
-  [[nodiscard]] Figures figures(Time now) const;
+  [[nodiscard]] ViewCounts view_counts(Time now) const;
   [[nodiscard]] View view(Time now, MemberId member) const;
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] const Approval& approval() const { return approval_; }
   void check() const { approval_.check(); }
 
  private:
-  void take(Time now, const Restored& restored, Actions& actions);
+  void take(Time now, const RecordsRestored& restored, Actions& actions);
   void take(Time now, const RulesReadBack& read, Actions& actions);
-  void take(Time now, const Offered& offered, Actions& actions);
-  void take(Time now, const VotePersisted& kept, Actions& actions);
-  void take(Time now, const Members& members, Actions& actions);
-  void take(Time now, const Told& told, Actions& actions);
-  void settle(Time now, Actions& actions);
-  void adopt(Time now, Actions& actions);
-  void say(Time now, Actions& actions);
-  void carry(Actions& actions);
-  void look(Time now, Actions& actions);
-  void note_alarm(Time now, MemberId subject, const std::string& name, Actions& actions);
-  [[nodiscard]] bool among(std::uint64_t of, std::size_t first, MemberId except) const;
-  [[nodiscard]] rules::Digest wanted(const std::string& name, const std::string& zone) const;
-  [[nodiscard]] Name by() const;
-  [[nodiscard]] Duration stale() const;
+  void take(Time now, const VersionOffered& offered, Actions& actions);
+  void take(Time now, const VotePersisted& persisted, Actions& actions);
+  void take(Time now, const MembersChanged& members, Actions& actions);
+  void take(Time now, const FactReceived& received, Actions& actions);
+  void update(Time now, Actions& actions);
+  void on_approved(Time now, Actions& actions);
+  void publish_own(Time now, Actions& actions);
+  void publish_content(Actions& actions);
+  void update_views(Time now, Actions& actions);
+  void log_alarm(Time now, MemberId subject, const std::string& name, Actions& actions);
+  [[nodiscard]] bool ranks_among(std::uint64_t of, std::size_t first, MemberId except) const;
+  [[nodiscard]] rules::Digest required_digest(const std::string& name, const std::string& zone) const;
+  [[nodiscard]] VersionId approved_id() const;
+  [[nodiscard]] Duration stale_after() const;
 
   DriftSettings settings_;
   MemberId self_;
   Approval approval_;
-  Time started_ = Time::min(), approved_at_ = Time::min(), said_at_ = Time::min(), next_ = Time::min();
-  bool held_since_start_ = false;  // what is approved was held before this life began
+  Time started_ = Time::min(), approved_at_ = Time::min(), reported_at_ = Time::min(), next_ = Time::min();
+  bool held_since_start_ = false;  // the approved version was held before this process started
   std::optional<rules::Tree> tree_;
-  std::optional<Word> word_;
-  Seen own_;
-  std::map<MemberId, Person> people_;
-  std::map<MemberId, Seen> seen_;
+  std::optional<RulesReport> report_;
+  MemberRules own_rules_;
+  std::map<MemberId, MemberInfo> members_;
+  std::map<MemberId, MemberRules> member_rules_;
   std::map<std::pair<std::string, std::string>, rules::Digest>
-      wanted_;  // by name and zone, of what is approved
+      required_;  // digests required by the approved version, by name and zone
   std::optional<Vote> published_vote_;
-  std::optional<Name> carried_;
-  std::size_t carried_parts_ = 0;
-  std::optional<Name> offered_;  // from the own file: carried by who offered it
-  Epoch conflict_ = 0;           // logged
+  std::optional<VersionId> published_content_;
+  std::size_t published_parts_ = 0;
+  std::optional<VersionId> own_offer_;  // from this controller's file: it publishes the content
+  Epoch conflict_ = 0;                  // the last one logged
   Counts counts_;
-  std::size_t agreed_ = 0;  // not told yet: nobody is approved by oneself
+  std::size_t agreed_ = 0;  // 0: not known yet, and nothing is approved
 };
 
 }  // namespace reeltack::fleet::drift
--- a/src/fleet/drift/looking.cpp
+++ b/src/fleet/drift/looking.cpp
@@ -1,4 +1,4 @@
-// How all members stand to the approved version: views, alarms, who logs them, and the figures.
+// How all members stand to the approved version: views, alarms, which members log them, and the counts.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -8,84 +8,86 @@
 namespace reeltack::fleet::drift {
 namespace {
 
-// While nothing changes, views still pass from one to the next by time alone.
-constexpr Duration kLook = std::chrono::milliseconds(500);
+// Interval of updating the views: even without events they change with time.
+constexpr Duration kViewInterval = std::chrono::milliseconds(500);
 
-std::uint64_t rank(std::uint64_t of, MemberId member) {
-  const std::uint64_t both[2] = {of, static_cast<std::uint64_t>(member)};
-  return ::XXH3_64bits(both, sizeof both);
+std::uint64_t rank(std::uint64_t key, MemberId member) {
+  const std::uint64_t input[2] = {key, static_cast<std::uint64_t>(member)};
+  return ::XXH3_64bits(input, sizeof input);
 }
 
 }  // namespace
 
-// Of the live members (but `except`, where it is not oneself), whether self is one of the first by rendezvous
-// hash.
-bool Drift::among(std::uint64_t of, std::size_t first, MemberId except) const {
-  const std::uint64_t own = rank(of, self_);
-  std::size_t before = 0;
-  for (const auto& [id, person] : people_)
-    if (person.alive && id != except && rank(of, id) < own && ++before >= first) return false;
+// Whether this member is one of the first `first` of the live members by rendezvous hash of `key`; `except`
+// is not counted, unless it is this member.
+bool Drift::ranks_among(std::uint64_t key, std::size_t first, MemberId except) const {
+  const std::uint64_t own_rank = rank(key, self_);
+  std::size_t preceding = 0;
+  for (const auto& [id, member] : members_)
+    if (member.alive && id != except && rank(key, id) < own_rank && ++preceding >= first) return false;
   return true;
 }
 
 View Drift::view(Time now, MemberId member) const {
-  const auto look = [&](const Seen& seen, const std::string& name, const std::string& zone) {
-    return seen.view(now, settings_.views, by(), wanted(name, zone), approved_at_, stale());
+  const auto view_of = [&](const MemberRules& observed, const std::string& name, const std::string& zone) {
+    return observed.view(now, settings_.views, approved_id(), required_digest(name, zone), approved_at_,
+                         stale_after());
   };
-  if (member == self_) return look(own_, settings_.name, settings_.zone);
-  const auto person = people_.find(member);
-  const auto seen = seen_.find(member);
-  if (person == people_.end() || seen == seen_.end()) return View::unknown;
-  return look(seen->second, person->second.name, person->second.zone);
+  if (member == self_) return view_of(own_rules_, settings_.name, settings_.zone);
+  const auto found = members_.find(member);
+  const auto observed = member_rules_.find(member);
+  if (found == members_.end() || observed == member_rules_.end()) return View::unknown;
+  return view_of(observed->second, found->second.name, found->second.zone);
 }
 
-void Drift::look(Time now, Actions& actions) {
-  next_ = now + kLook;
+void Drift::update_views(Time now, Actions& actions) {
+  next_ = now + kViewInterval;
   if (approval_.approved()) {
-    wanted_.try_emplace({settings_.name, settings_.zone}, wanted(settings_.name, settings_.zone));
-    for (const auto& [id, person] : people_)
-      wanted_.try_emplace({person.name, person.zone}, wanted(person.name, person.zone));
+    required_.try_emplace({settings_.name, settings_.zone}, required_digest(settings_.name, settings_.zone));
+    for (const auto& [id, member] : members_)
+      required_.try_emplace({member.name, member.zone}, required_digest(member.name, member.zone));
   }
-  if (own_.alarm(now, settings_.views, view(now, self_))) note_alarm(now, self_, settings_.name, actions);
-  for (const auto& [id, person] : people_) {
-    Seen& seen = seen_[id];
-    if (seen.alarm(now, settings_.views, view(now, id))) note_alarm(now, id, person.name, actions);
+  if (own_rules_.update_alarm(now, settings_.views, view(now, self_)))
+    log_alarm(now, self_, settings_.name, actions);
+  for (const auto& [id, member] : members_) {
+    MemberRules& observed = member_rules_[id];
+    if (observed.update_alarm(now, settings_.views, view(now, id))) log_alarm(now, id, member.name, actions);
   }
 }
 
-void Drift::note_alarm(Time now, MemberId subject, const std::string& name, Actions& actions) {
-  const Seen& seen = subject == self_ ? own_ : seen_.at(subject);
-  ++(seen.alarmed() ? counts_.alarms : counts_.cleared);
-  if (subject != self_ && !among(static_cast<std::uint64_t>(subject), kWatchers, subject)) return;
-  std::string text = "drift name=" + name + " alarm=" + (seen.alarmed() ? "raised" : "cleared") +
-                     " view=" + name_of(view(now, subject)) + " epoch=" + std::to_string(by().epoch);
-  if (seen.word()) text += " its_epoch=" + std::to_string(seen.word()->by.epoch);
-  if (seen.alarmed() && seen.word()) {
-    text += std::string(" severity=") + rules::name_of(seen.worst());
-    for (const rules::Difference& d : seen.word()->named) {
-      std::string should = "nothing";
+void Drift::log_alarm(Time now, MemberId subject, const std::string& name, Actions& actions) {
+  const MemberRules& observed = subject == self_ ? own_rules_ : member_rules_.at(subject);
+  ++(observed.alarmed() ? counts_.alarms : counts_.cleared);
+  if (subject != self_ && !ranks_among(static_cast<std::uint64_t>(subject), kAlarmReporters, subject)) return;
+  std::string text = "drift name=" + name + " alarm=" + (observed.alarmed() ? "raised" : "cleared") +
+                     " view=" + name_of(view(now, subject)) + " epoch=" + std::to_string(approved_id().epoch);
+  if (observed.report()) text += " its_epoch=" + std::to_string(observed.report()->version.epoch);
+  if (observed.alarmed() && observed.report()) {
+    text += std::string(" severity=") + rules::name_of(observed.worst_severity());
+    for (const rules::Difference& d : observed.report()->differing) {
+      std::string required = "nothing";
       if (const auto& approved = approval_.approved()) {
-        const auto person = people_.find(subject);
-        const rules::Rules asked =
-            required_rules(*approved, name, subject == self_ ? settings_.zone : person->second.zone);
-        if (const auto found = asked.find(d.key); found != asked.end()) should = found->second;
+        const auto member = members_.find(subject);
+        const rules::Rules all =
+            required_rules(*approved, name, subject == self_ ? settings_.zone : member->second.zone);
+        if (const auto found = all.find(d.key); found != all.end()) required = found->second;
       }
-      text += " " + d.key + "=\"" + d.is.value_or("nothing") + "\" wanted=\"" + should + "\"";
+      text += " " + d.key + "=\"" + d.is.value_or("nothing") + "\" wanted=\"" + required + "\"";
     }
   }
-  actions.emplace_back(Note{std::move(text)});
+  actions.emplace_back(LogLine{std::move(text)});
 }
 
-Drift::Figures Drift::figures(Time now) const {
-  Figures out;
-  const auto add = [&](const Seen& seen, View view) {
+Drift::ViewCounts Drift::view_counts(Time now) const {
+  ViewCounts out;
+  const auto add = [&](const MemberRules& observed, View view) {
     ++out.views.at(static_cast<std::size_t>(view));
-    if (!seen.alarmed()) return;
+    if (!observed.alarmed()) return;
     ++out.alarmed;
-    out.critical += seen.worst() == rules::Severity::critical ? 1 : 0;
+    out.critical += observed.worst_severity() == rules::Severity::critical ? 1 : 0;
   };
-  add(own_, view(now, self_));
-  for (const auto& [id, person] : people_) add(seen_.at(id), view(now, id));
+  add(own_rules_, view(now, self_));
+  for (const auto& [id, member] : members_) add(member_rules_.at(id), view(now, id));
   return out;
 }
 
--- a/src/fleet/drift/version.cpp
+++ b/src/fleet/drift/version.cpp
@@ -5,13 +5,13 @@
 namespace reeltack::fleet::drift {
 namespace {
 
-void write(const rules::Rules& rules, const std::string& before, std::string& out) {
+void write(const rules::Rules& rules, const std::string& prefix, std::string& out) {
   for (const auto& [key, value] : rules)
-    out.append(before).append(key).append(" ").append(value).append("\n");
+    out.append(prefix).append(key).append(" ").append(value).append("\n");
 }
 
-// KEY VALUE into `into`; false where it is none, or out of its order.
-bool take(std::string_view line, rules::Rules& into) {
+// Parses KEY VALUE into `into`; false if the line is malformed or out of order.
+bool parse_rule(std::string_view line, rules::Rules& into) {
   const std::size_t space = line.find(' ');
   if (space == std::string_view::npos) return false;
   const std::string_view key = line.substr(0, space), value = line.substr(space + 1);
@@ -20,12 +20,12 @@
   into.emplace_hint(into.end(), key, value);
   return true;
 }
-bool take_of(std::string_view line, std::map<std::string, rules::Rules>& into) {
+bool parse_scoped(std::string_view line, std::map<std::string, rules::Rules>& into) {
   const std::size_t colon = line.find(':'), space = line.find(' ');
-  const std::string whose(line.substr(colon + 1, space - colon - 1));
-  if (!rules::is_key(whose) || whose.find('.') != std::string::npos) return false;
-  if (!into.empty() && whose < into.rbegin()->first) return false;
-  return take(line.substr(space + 1), into[whose]);
+  const std::string scope(line.substr(colon + 1, space - colon - 1));
+  if (!rules::is_key(scope) || scope.find('.') != std::string::npos) return false;
+  if (!into.empty() && scope < into.rbegin()->first) return false;
+  return parse_rule(line.substr(space + 1), into[scope]);
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
 std::optional<Version> read_version(std::string_view text) {
   if (text.size() > kMaxVersionBytes || !text.starts_with("1 ") || !text.ends_with("\n")) return std::nullopt;
   Version out;
-  const std::string whole(text);
+  const std::string original(text);
   std::size_t end = text.find('\n');
   const auto epoch = rules::read_count(text.substr(2, end - 2));
   if (!epoch || *epoch == 0) return std::nullopt;
@@ -50,18 +50,18 @@
     end = text.find('\n', from);
     const std::string_view line = text.substr(from, end - from);
     const std::size_t colon = line.find(':'), space = line.find(' ');
-    const bool of = colon != std::string_view::npos && space != std::string_view::npos && colon < space;
-    const bool taken = !of                         ? take(line, out.rules)
-                       : line.starts_with("zone:") ? take_of(line, out.zones)
-                       : line.starts_with("name:") ? take_of(line, out.names)
-                                                   : false;
-    if (!taken) return std::nullopt;
+    const bool scoped = colon != std::string_view::npos && space != std::string_view::npos && colon < space;
+    const bool parsed = !scoped                     ? parse_rule(line, out.rules)
+                        : line.starts_with("zone:") ? parse_scoped(line, out.zones)
+                        : line.starts_with("name:") ? parse_scoped(line, out.names)
+                                                    : false;
+    if (!parsed) return std::nullopt;
   }
-  if (write(out) != whole) return std::nullopt;  // parts out of their order
+  if (write(out) != original) return std::nullopt;  // sections out of order
   return out;
 }
 
-Name name_of(const Version& version) {
+VersionId id_of(const Version& version) {
   const std::string text = write(version);
   const rules::Digest digest = ::XXH3_64bits(text.data(), text.size());
   return {version.epoch, digest == 0 ? 1 : digest};
@@ -69,13 +69,13 @@
 
 rules::Rules required_rules(const Version& version, std::string_view name, std::string_view zone) {
   rules::Rules out = version.rules;
-  const auto over = [&out](const std::map<std::string, rules::Rules>& of, std::string_view whose) {
-    const auto found = of.find(rules::escape_name(whose));
+  const auto overlay = [&out](const std::map<std::string, rules::Rules>& of, std::string_view scope) {
+    const auto found = of.find(rules::escape_name(scope));
     if (found == of.end()) return;
     for (const auto& [key, value] : found->second) out.insert_or_assign(key, value);
   };
-  over(version.zones, zone);
-  over(version.names, name);
+  overlay(version.zones, zone);
+  overlay(version.names, name);
   return out;
 }
 
--- a/src/fleet/drift/words.cpp
+++ b/src/fleet/drift/words.cpp
@@ -6,18 +6,18 @@
 namespace reeltack::fleet::drift {
 namespace {
 
-// The decimal numbers of a line, one space between; nothing where there are not just N.
+// The N decimal numbers of a line, separated by single spaces; nothing if there are more or fewer.
 template <std::size_t N>
 std::optional<std::array<std::uint64_t, N>> numbers(std::string_view line) {
   std::array<std::uint64_t, N> out{};
   for (std::size_t i = 0; i < N; ++i) {
-    const std::string_view one = line.substr(0, line.find(' '));
-    const auto value = rules::read_count(one);
+    const std::string_view field = line.substr(0, line.find(' '));
+    const auto value = rules::read_count(field);
     if (!value) return std::nullopt;
     out.at(i) = *value;
-    const bool last = one.size() == line.size();
+    const bool last = field.size() == line.size();
     if (last != (i + 1 == N)) return std::nullopt;
-    line.remove_prefix(last ? one.size() : one.size() + 1);
+    line.remove_prefix(last ? field.size() : field.size() + 1);
   }
   return out;
 }
@@ -26,64 +26,64 @@
   for (const std::uint64_t value : values) out += (out.empty() ? "" : " ") + std::to_string(value);
   return out;
 }
-constexpr std::uint64_t kForm = 1;
+constexpr std::uint64_t kFormatVersion = 1;
 
 }  // namespace
 
 std::string write(const Vote& vote) {
-  return line({kForm, vote.vote.epoch, vote.vote.digest, vote.approved.epoch, vote.approved.digest});
+  return line({kFormatVersion, vote.vote.epoch, vote.vote.digest, vote.approved.epoch, vote.approved.digest});
 }
 std::optional<Vote> read_vote(std::string_view value) {
   const auto n = numbers<5>(value);
-  if (!n || n->at(0) != kForm) return std::nullopt;
+  if (!n || n->at(0) != kFormatVersion) return std::nullopt;
   return Vote{{n->at(1), n->at(2)}, {n->at(3), n->at(4)}};
 }
 
-std::string write(const Word& word) {
-  std::string out = line({kForm, word.by.epoch, word.by.digest, word.governed, word.whole,
-                          static_cast<std::uint64_t>(word.pending ? 1 : 0)});
-  for (std::size_t i = 0; i < word.named.size() && i < kMostNamed; ++i) {
-    out += "\n" + word.named[i].key;
-    if (word.named[i].is) out += " " + *word.named[i].is;
+std::string write(const RulesReport& report) {
+  std::string out = line({kFormatVersion, report.version.epoch, report.version.digest, report.governed,
+                          report.full_digest, static_cast<std::uint64_t>(report.pending ? 1 : 0)});
+  for (std::size_t i = 0; i < report.differing.size() && i < kMaxNamedKeys; ++i) {
+    out += "\n" + report.differing[i].key;
+    if (report.differing[i].is) out += " " + *report.differing[i].is;
   }
   return out;
 }
-std::optional<Word> read_word(std::string_view value) {
+std::optional<RulesReport> read_rules_report(std::string_view value) {
   std::string_view first = value.substr(0, value.find('\n'));
   const auto n = numbers<6>(first);
-  if (!n || n->at(0) != kForm || n->at(5) > 1) return std::nullopt;
-  Word out{{n->at(1), n->at(2)}, n->at(3), n->at(4), n->at(5) == 1, {}};
+  if (!n || n->at(0) != kFormatVersion || n->at(5) > 1) return std::nullopt;
+  RulesReport out{{n->at(1), n->at(2)}, n->at(3), n->at(4), n->at(5) == 1, {}};
   for (std::string_view rest = value.substr(first.size()); !rest.empty();) {
     rest.remove_prefix(1);
-    const std::string_view one = rest.substr(0, rest.find('\n'));
-    rest.remove_prefix(one.size());
-    const std::size_t space = one.find(' ');
-    const std::string_view key = one.substr(0, space);
-    const bool there = space != std::string_view::npos;
-    if (!rules::is_key(key) || (there && !rules::is_word(one.substr(space + 1)))) return std::nullopt;
-    if (out.named.size() >= kMostNamed) return std::nullopt;
-    out.named.push_back({std::string(key), std::nullopt, std::nullopt});
-    if (there) out.named.back().is = std::string(one.substr(space + 1));
+    const std::string_view field = rest.substr(0, rest.find('\n'));
+    rest.remove_prefix(field.size());
+    const std::size_t space = field.find(' ');
+    const std::string_view key = field.substr(0, space);
+    const bool present = space != std::string_view::npos;
+    if (!rules::is_key(key) || (present && !rules::is_word(field.substr(space + 1)))) return std::nullopt;
+    if (out.differing.size() >= kMaxNamedKeys) return std::nullopt;
+    out.differing.push_back({std::string(key), std::nullopt, std::nullopt});
+    if (present) out.differing.back().is = std::string(field.substr(space + 1));
   }
   return out;
 }
 
-std::string write(const Part& part) {
-  return line({kForm, part.of.epoch, part.of.digest, part.parts}) + "\n" + part.text;
+std::string write(const VersionPart& part) {
+  return line({kFormatVersion, part.version.epoch, part.version.digest, part.count}) + "\n" + part.text;
 }
-std::optional<Part> read_part(std::string_view value) {
+std::optional<VersionPart> read_part(std::string_view value) {
   const std::size_t end = value.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
   const auto n = numbers<4>(value.substr(0, end));
-  if (!n || n->at(0) != kForm || n->at(3) == 0 || n->at(3) > kMostParts) return std::nullopt;
-  return Part{{n->at(1), n->at(2)}, n->at(3), std::string(value.substr(end + 1))};
+  if (!n || n->at(0) != kFormatVersion || n->at(3) == 0 || n->at(3) > kMaxVersionParts) return std::nullopt;
+  return VersionPart{{n->at(1), n->at(2)}, n->at(3), std::string(value.substr(end + 1))};
 }
-std::vector<Part> parts_of(const Version& version) {
+std::vector<VersionPart> parts_of(const Version& version) {
   const std::string text = write(version);
-  const std::size_t parts = (text.size() + kPartBytes - 1) / kPartBytes;
-  std::vector<Part> out;
-  for (std::size_t i = 0; i < parts; ++i)
-    out.push_back({name_of(version), parts, text.substr(i * kPartBytes, kPartBytes)});
+  const std::size_t count = (text.size() + kPartBytes - 1) / kPartBytes;
+  std::vector<VersionPart> out;
+  for (std::size_t i = 0; i < count; ++i)
+    out.push_back({id_of(version), count, text.substr(i * kPartBytes, kPartBytes)});
   return out;
 }
 
--- a/src/fleet/facts/exchange.cpp
+++ b/src/fleet/facts/exchange.cpp
@@ -1,4 +1,4 @@
-// Facts: summary, digest and delta, and whose turn it is.
+// Facts: composing summaries, digests and deltas, and the order of owners in a delta.
 #include <algorithm>
 #include <limits>
 
@@ -27,9 +27,9 @@
 Summary Facts::summary() const {
   Summary summary;
   summary.buckets.resize(Summary::kBuckets);
-  for (const auto& [owner, line] : state_->owners) {
+  for (const auto& [owner, entry] : state_->owners) {
     const std::uint64_t hash =
-        mix(mix(mix(static_cast<std::uint64_t>(owner)) ^ line.facts.incarnation()) ^ line.facts.highest());
+        mix(mix(mix(static_cast<std::uint64_t>(owner)) ^ entry.facts.incarnation()) ^ entry.facts.highest());
     summary.buckets[bucket_of(owner)] += hash;
   }
   return summary;
@@ -44,81 +44,83 @@
       if (own.buckets[at] != of_other.buckets[at]) digest.buckets |= std::uint32_t{1} << at;
     }
   }
-  for (const auto& [owner, line] : state_->owners) {
-    if ((digest.buckets & bit_of(owner)) != 0) digest.known.push_back(line.facts.line());
+  for (const auto& [owner, entry] : state_->owners) {
+    if ((digest.buckets & bit_of(owner)) != 0) digest.entries.push_back(entry.facts.digest_entry());
   }
   return digest;
 }
 
 Digest Facts::digest() const { return digest(Summary{}); }
 
-Digest Facts::wanted(const Digest& of_other) const {
+Digest Facts::request(const Digest& of_other) const {
   Digest digest{{}, 0, true};
-  for (const Known& other : of_other.known) {
+  for (const DigestEntry& other : of_other.entries) {
     const auto at = state_->owners.find(other.owner);
-    Known own{other.owner, 0, 0, 0};
-    if (at != state_->owners.end()) own = at->second.facts.line();
+    DigestEntry own{other.owner, 0, 0, 0};
+    if (at != state_->owners.end()) own = at->second.facts.digest_entry();
     const bool behind = other.incarnation > own.incarnation ||
                         (other.incarnation == own.incarnation && other.highest > own.highest);
-    if (behind) digest.known.push_back(own);
+    if (behind) digest.entries.push_back(own);
   }
   return digest;
 }
 
 namespace {
 
-struct Lack {
+struct Missing {
   const Owner* owner;
-  Plan plan;
+  SendPlan plan;
   MemberId id;
-  Weight weight;
-  bool gone_in = false;
+  SendPriority weight;
+  bool included = false;
 };
 
-// Fills a delta up to its bound.
-class Filling {
+// Builds a delta up to its bound in bytes.
+class DeltaBuilder {
  public:
-  Filling(Time now, std::size_t most) : now_(now), most_(most) {}
-  // Up to `until` bytes of the whole delta; false: nothing of it went in.
-  bool add(Lack& lack, std::size_t until, bool at_least_one, bool all_or_nothing) {
-    auto part = lack.owner->part(now_, lack.plan, until > bytes_ ? until - bytes_ : 0, at_least_one);
+  DeltaBuilder(Time now, std::size_t max_bytes) : now_(now), max_bytes_(max_bytes) {}
+  // Adds up to a total size of `until` bytes; false: nothing was added.
+  bool add(Missing& item, std::size_t until, bool at_least_one, bool all_or_nothing) {
+    auto part = item.owner->part(now_, item.plan, until > bytes_ ? until - bytes_ : 0, at_least_one);
     if (!part || (all_or_nothing && part->more)) return false;
     bytes_ += encoded(*part);
     delta_.owners.push_back(std::move(*part));
-    return lack.gone_in = true;
+    return item.included = true;
   }
-  // Half of the room that is left: lists and offices first, the newest first. Each in one piece: a cut one
-  // leaves its receiver between versions of a key.
-  void by_weight(std::vector<Lack>& lacks) {
-    std::vector<Lack*> order;
-    order.reserve(lacks.size());
-    for (Lack& lack : lacks) order.push_back(&lack);
+  // Fills half of the remaining space, lists and offices first, newest first. Each owner in one piece: a part
+  // alone leaves its receiver between versions of a key.
+  void add_by_priority(std::vector<Missing>& missing) {
+    std::vector<Missing*> order;
+    order.reserve(missing.size());
+    for (Missing& item : missing) order.push_back(&item);
     std::stable_sort(order.begin(), order.end(),
-                     [](const Lack* a, const Lack* b) { return a->weight < b->weight; });
-    const std::size_t until = bytes_ + (most_ - std::min(bytes_, most_)) / 2;
-    for (Lack* lack : order) {
+                     [](const Missing* a, const Missing* b) { return a->weight < b->weight; });
+    const std::size_t until = bytes_ + (max_bytes_ - std::min(bytes_, max_bytes_)) / 2;
+    for (Missing* item : order) {
       if (bytes_ >= until) return;
-      add(*lack, until, false, true);
+      add(*item, until, false, true);
     }
   }
-  // The rest of it, in the order given; the first that was missed.
-  std::optional<MemberId> in_turn(std::vector<Lack>& lacks) {
+  // Fills the rest in the order given; returns the first owner that was left out.
+  std::optional<MemberId> add_in_turn(std::vector<Missing>& missing) {
     bool first = true;
-    std::optional<MemberId> missed;
-    for (Lack& lack : lacks) {
-      if (lack.gone_in) continue;
-      if (bytes_ >= most_) return missed ? missed : lack.id;
-      // A whole goes in one piece if it can: cut after a restart, it would show half of the new facts.
-      if (!add(lack, most_, delta_.owners.empty(), lack.plan.whole && !first) && !missed) missed = lack.id;
+    std::optional<MemberId> first_skipped;
+    for (Missing& item : missing) {
+      if (item.included) continue;
+      if (bytes_ >= max_bytes_) return first_skipped ? first_skipped : item.id;
+      // A full copy goes in one piece if it can: a part of one after a restart would show only some new
+      // facts.
+      if (!add(item, max_bytes_, delta_.owners.empty(), item.plan.full && !first) && !first_skipped)
+        first_skipped = item.id;
       first = false;
     }
-    return missed;
+    return first_skipped;
   }
   [[nodiscard]] Delta delta() { return std::move(delta_); }
 
  private:
   Time now_;
-  std::size_t most_;
+  std::size_t max_bytes_;
   Delta delta_;
   std::size_t bytes_ = encoded(Delta{});
 };
@@ -127,33 +129,34 @@
 
 Delta Facts::delta(Time now, const Digest& of_other) {
   State& state = *state_;
-  std::map<MemberId, const Known*> known;
-  for (const Known& line : of_other.known) known.emplace(line.owner, &line);
-  std::vector<Lack> lacks;  // of others, in the order of turns
-  std::optional<Lack> own;
-  const auto look = [&](MemberId id, const State::Line& line) {
+  std::map<MemberId, const DigestEntry*> known;
+  for (const DigestEntry& entry : of_other.entries) known.emplace(entry.owner, &entry);
+  std::vector<Missing> missing;  // other owners, beginning with next_owner
+  std::optional<Missing> own;
+  const auto consider = [&](MemberId id, const State::OwnerEntry& entry) {
     const auto at = known.find(id);
     if (at == known.end() && (of_other.listed_only || (of_other.buckets & bit_of(id)) == 0)) return;
-    if (line.hidden != Hidden::no) return;
-    const auto plan = line.facts.plan(at == known.end() ? nullptr : at->second);
+    if (entry.hidden != Hidden::no) return;
+    const auto plan = entry.facts.plan_for(at == known.end() ? nullptr : at->second);
     if (!plan) return;
-    const Lack lack{&line.facts, *plan, id, line.facts.weight(now, plan->after)};
+    const Missing item{&entry.facts, *plan, id, entry.facts.priority(now, plan->after)};
     if (id == state.self) {
-      own = lack;
+      own = item;
     } else {
-      lacks.push_back(lack);
+      missing.push_back(item);
     }
   };
-  const auto turn = state.owners.lower_bound(state.next);
-  for (auto at = turn; at != state.owners.end(); ++at) look(at->first, at->second);
-  for (auto at = state.owners.begin(); at != turn; ++at) look(at->first, at->second);
-
-  const std::size_t most = state.settings.max_delta_bytes;
-  Filling filling(now, most);
-  if (own) filling.add(*own, own->plan.whole || lacks.empty() ? most : most - most / 4, true, false);
-  filling.by_weight(lacks);
-  if (const auto missed = filling.in_turn(lacks)) state.next = *missed;
-  return filling.delta();
+  const auto start = state.owners.lower_bound(state.next_owner);
+  for (auto at = start; at != state.owners.end(); ++at) consider(at->first, at->second);
+  for (auto at = state.owners.begin(); at != start; ++at) consider(at->first, at->second);
+
+  const std::size_t max_bytes = state.settings.max_delta_bytes;
+  DeltaBuilder builder(now, max_bytes);
+  if (own)
+    builder.add(*own, own->plan.full || missing.empty() ? max_bytes : max_bytes - max_bytes / 4, true, false);
+  builder.add_by_priority(missing);
+  if (const auto first_skipped = builder.add_in_turn(missing)) state.next_owner = *first_skipped;
+  return builder.delta();
 }
 
 }  // namespace reeltack::fleet::facts
--- a/src/fleet/facts/sizes.h
+++ b/src/fleet/facts/sizes.h
@@ -1,9 +1,8 @@
-// How many bytes what travels takes, by which deltas are bounded and the owners' bounds are counted.
+// Estimated encoded sizes in bytes, by which deltas and the facts of an owner are bounded. The encoding
+// itself is done by fleet/link, and never exceeds these.
 //
-// Owns: the sizes alone. Must never: encode anything; the link does, and stays at or below these.
-//
-// Counted: an id or a subject 8 bytes, a number by groups of 7 bits (LEB128), an age in whole milliseconds
-// so, a kind 2 bytes, flags 1 byte, a count 2 bytes. Threads: none.
+// An id or a subject counts 8 bytes, a number as many as groups of 7 bits (LEB128), an age the same in whole
+// milliseconds, a kind 2 bytes, flags 1 byte, a count 2 bytes.
 #pragma once
 
 #include "fleet/facts/facts.h"
@@ -23,8 +22,8 @@
   return encoded(fact.version) + 2 + 8 + 1 + encoded(static_cast<std::uint64_t>(age > 0 ? age : 0)) +
          encoded(fact.value.size()) + fact.value.size();
 }
-// A fact as its owner's bounds count it, whatever its version and age.
-inline std::size_t held_bytes(std::size_t value) { return 24 + value; }
+// The size of a fact within its owner's bounds, independent of its version and age.
+inline std::size_t held_bytes(std::size_t value_bytes) { return 24 + value_bytes; }
 // A part without its facts.
 inline std::size_t encoded_head(const OwnerDelta& part) {
   return 8 + encoded(part.incarnation) + 1 + encoded(part.after) + encoded(part.floor) + 2;
@@ -39,12 +38,12 @@
   for (const OwnerDelta& part : delta.owners) bytes += encoded(part);
   return bytes;
 }
-inline std::size_t encoded(const Known& line) {
-  return 8 + encoded(line.incarnation) + encoded(line.highest) + encoded(line.floor);
+inline std::size_t encoded(const DigestEntry& entry) {
+  return 8 + encoded(entry.incarnation) + encoded(entry.highest) + encoded(entry.floor);
 }
 inline std::size_t encoded(const Digest& digest) {
   std::size_t bytes = 4 + 1 + 2;
-  for (const Known& line : digest.known) bytes += encoded(line);
+  for (const DigestEntry& entry : digest.entries) bytes += encoded(entry);
   return bytes;
 }
 inline std::size_t encoded(const Summary& summary) { return 8 * summary.buckets.size(); }
--- a/src/fleet/facts/state.h
+++ b/src/fleet/facts/state.h
@@ -1,6 +1,5 @@
-// All owners, and who of them is hidden. Within the room only.
-//
-// Owns: the table of owners. Must never: know a version rule; owner.h does. Threads: none.
+// The table of owners behind Facts, and which of them are hidden; private to this module. The rules on
+// versions are in owner.h.
 #pragma once
 
 #include <algorithm>
@@ -14,31 +13,32 @@
 
 class Facts::State {
  public:
-  struct Line {
+  struct OwnerEntry {
     Owner facts;
-    Time heard{};  // the last news, by its age, or the last word of its own
+    Time last_received{};  // the last new fact, less its age, or the last message of its own
     Hidden hidden = Hidden::no;
     Time hidden_at{};
   };
   State(const FactsSettings& settings, MemberId self, Incarnation incarnation)
-      : settings(settings), strained(settings), self(self), next(self) {
-    strained.most_bytes_an_owner = std::min(settings.strained_bytes_an_owner, settings.most_bytes_an_owner);
-    owners.emplace(self, Line{Owner(self, incarnation), {}, Hidden::no, {}});
+      : settings(settings), constrained(settings), self(self), next_owner(self) {
+    constrained.max_bytes_per_owner =
+        std::min(settings.constrained_bytes_per_owner, settings.max_bytes_per_owner);
+    owners.emplace(self, OwnerEntry{Owner(self, incarnation), {}, Hidden::no, {}});
   }
   [[nodiscard]] Owner& own() { return owners.at(self).facts; }
-  void take(Time now, const OwnerDelta& part, bool of_itself, const FactsSettings& bounds, Taken& taken);
-  void take_own(const OwnerDelta& part, Taken& taken);
-  void show(Time now, Line& line, std::vector<Fact>& changed);
-  // The line of an owner, made where there is room for it.
-  Line* line(Time now, MemberId owner, Incarnation incarnation);
+  void apply(Time now, const OwnerDelta& part, bool from_owner, const FactsSettings& bounds, Applied& taken);
+  void check_own(const OwnerDelta& part, Applied& taken);
+  void unhide(Time now, OwnerEntry& entry, std::vector<Fact>& changed);
+  // The entry of an owner, added if there is room for it; null if not.
+  OwnerEntry* find_or_add(Time now, MemberId owner, Incarnation incarnation);
   void tick(Time now);
   void check() const;
 
   FactsSettings settings;
-  FactsSettings strained;  // in force while all together hold more than most_bytes
+  FactsSettings constrained;  // applies while all owners together hold more than max_bytes
   MemberId self;
-  std::map<MemberId, Line> owners;
-  MemberId next;  // whose turn it is in the next delta
+  std::map<MemberId, OwnerEntry> owners;
+  MemberId next_owner;  // the first in the next delta
   Counts counts;
 };
 
--- a/src/fleet/link/checks.cpp
+++ b/src/fleet/link/checks.cpp
@@ -40,7 +40,7 @@
     const std::string field = "updates[" + std::to_string(i) + "]";
     if (update.health > members::Health::left)
       wrong(field + ".health", "unknown: " + std::to_string(static_cast<unsigned>(update.health)));
-    check_text(update.name, members::kMostName, field + ".name");
+    check_text(update.name, members::kMaxNameBytes, field + ".name");
     check_text(update.zone, members::kMaxZoneBytes, field + ".zone");
   }
 }
@@ -67,7 +67,8 @@
   if (exchange.summary.buckets.size() != buckets)
     wrong("buckets", std::to_string(exchange.summary.buckets.size()) + " of them at step " +
                          std::to_string(exchange.step) + ", " + std::to_string(buckets) + " expected");
-  at_most(exchange.digest.known.size(), exchange.step == 1 || exchange.step == 2 ? kMostOwners : 0, "digest");
+  at_most(exchange.digest.entries.size(), exchange.step == 1 || exchange.step == 2 ? kMostOwners : 0,
+          "digest");
   at_most(exchange.delta.owners.size(), exchange.step >= 2 ? kMostOwners : 0, "owners");
   if (exchange.step != 1 && exchange.step != 2 &&
       (exchange.digest.buckets != 0xffffffffU || exchange.digest.listed_only))
--- a/src/fleet/link/from_wire.cpp
+++ b/src/fleet/link/from_wire.cpp
@@ -123,8 +123,8 @@
   if (digest.floors_size() != 0 && digest.floors_size() != digest.owners_size())
     wrong("digest.floors", "not one an owner");
   for (int i = 0; i < digest.owners_size(); ++i)
-    out.digest.known.push_back({MemberId{digest.owners(i)}, digest.incarnations(i), digest.highest(i),
-                                digest.floors_size() == 0 ? 0 : digest.floors(i)});
+    out.digest.entries.push_back({MemberId{digest.owners(i)}, digest.incarnations(i), digest.highest(i),
+                                  digest.floors_size() == 0 ? 0 : digest.floors(i)});
   out.digest.buckets = digest.buckets();
   out.digest.listed_only = digest.listed_only();
   for (int i = 0; i < e.owners_size(); ++i) {
@@ -136,7 +136,7 @@
     facts::OwnerDelta& to = out.delta.owners.emplace_back();
     to.owner = MemberId{of.owner()};
     to.incarnation = of.incarnation();
-    to.whole = of.whole();
+    to.full = of.whole();
     to.floor = of.floor();
     to.more = of.more();
     to.after = of.after();
--- a/src/fleet/link/to_wire.cpp
+++ b/src/fleet/link/to_wire.cpp
@@ -77,9 +77,9 @@
     if (e.digest.buckets != digest.buckets()) digest.set_buckets(e.digest.buckets);
     if (e.digest.listed_only) digest.set_listed_only(true);
   }
-  const bool floors = std::any_of(e.digest.known.begin(), e.digest.known.end(),
-                                  [](const facts::Known& known) { return known.floor != 0; });
-  for (const facts::Known& known : e.digest.known) {
+  const bool floors = std::any_of(e.digest.entries.begin(), e.digest.entries.end(),
+                                  [](const facts::DigestEntry& known) { return known.floor != 0; });
+  for (const facts::DigestEntry& known : e.digest.entries) {
     if (floors) out.mutable_digest()->add_floors(known.floor);
     out.mutable_digest()->add_owners(static_cast<std::uint64_t>(known.owner));
     out.mutable_digest()->add_incarnations(known.incarnation);
@@ -89,7 +89,7 @@
     wire::OwnerDelta& to = *out.add_owners();
     to.set_owner(static_cast<std::uint64_t>(of.owner));
     to.set_incarnation(of.incarnation);
-    if (of.whole) to.set_whole(true);
+    if (of.full) to.set_whole(true);
     if (of.floor != 0) to.set_floor(of.floor);
     if (of.more) to.set_more(true);
     if (of.after != 0) to.set_after(of.after);
--- a/src/fleet/members/bounds.h
+++ b/src/fleet/members/bounds.h
@@ -1,13 +1,11 @@
-// What a message from outside must keep to, before anything of it is believed.
-//
-// Owns: the bounds. Must never: hold state.
+// Validation of messages that come from the network, before any field of them is used.
 #pragma once
 
 #include "fleet/members/members.h"
 
 namespace reeltack::fleet::members {
 
-// False: over a bound, or a field that no member would send.
+// False if a bound is exceeded or a field holds a value that no member sends.
 [[nodiscard]] bool well_formed(const Message& message);
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/draws.h
+++ b/src/fleet/members/draws.h
@@ -1,6 +1,4 @@
-// The numbers drawn by the members' state.
-//
-// Owns: one word of state, seeded. Must never: take anything else as a source.
+// Deterministic pseudo-random numbers: the only source of randomness of the membership state.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +6,10 @@
 
 namespace reeltack::fleet::members {
 
-// SplitMix64 (Steele, Lea, Flood 2014): the same numbers on every machine.
-class Draws {
+// SplitMix64 (Steele, Lea, Flood 2014): the same seed gives the same numbers on every machine.
+class Random {
  public:
-  explicit Draws(std::uint64_t seed) : state_(seed) {}
+  explicit Random(std::uint64_t seed) : state_(seed) {}
   std::uint64_t next() {
     state_ += 0x9e3779b97f4a7c15U;
     std::uint64_t z = state_;
@@ -19,7 +17,7 @@
     z = (z ^ (z >> 27U)) * 0x94d049bb133111ebU;
     return z ^ (z >> 31U);
   }
-  // Below `bound`, which is not 0; the bias is below bound / 2^64.
+  // A number in [0, bound); bound must not be 0. The bias is below bound / 2^64.
   std::size_t below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
 
  private:
--- a/src/fleet/members/members.cpp
+++ b/src/fleet/members/members.cpp
@@ -1,4 +1,4 @@
-// The public face of the members' state, and its invariants.
+// The public functions of Members, and its invariants.
 #include "fleet/members/members.h"
 
 #include <stdexcept>
@@ -17,49 +17,49 @@
 
 void Members::begin(Time now, Actions& actions) {
   State& s = *state_;
-  if (s.begun) return;
-  s.begun = true;
-  s.began = now;
-  for (auto& [id, m] : s.table) m.since = now;
-  s.raise(s.self.incarnation - 1, actions);
-  s.ask_at = now;
-  const auto spread_over = static_cast<std::size_t>(std::max<Duration::rep>(1, s.settings.period.count()));
-  s.period_ends = now + Duration(static_cast<Duration::rep>(s.draws.below(spread_over)));
+  if (s.started) return;
+  s.started = true;
+  s.started_at = now;
+  for (auto& [id, m] : s.table) m.health_since = now;
+  s.raise_incarnation(s.self.incarnation - 1, actions);
+  s.join_at = now;
+  const auto span = static_cast<std::size_t>(std::max<Duration::rep>(1, s.settings.period.count()));
+  s.period_end = now + Duration(static_cast<Duration::rep>(s.random.below(span)));
 }
 
-// Held under incarnation 0, so that their first word, whatever its incarnation, brings them back.
-void Members::remember(std::span<const Update> kept) {
+// Recorded under incarnation 0, so that their first message brings them back whatever its incarnation.
+void Members::restore(std::span<const Update> stored) {
   State& s = *state_;
-  for (const Update& u : kept) {
+  for (const Update& u : stored) {
     if (u.member == s.self.id || u.member == MemberId{} || u.at.port == 0 || u.at.address == 0) continue;
-    if (u.name.size() > kMostName || u.zone.size() > kMaxZoneBytes) continue;
+    if (u.name.size() > kMaxNameBytes || u.zone.size() > kMaxZoneBytes) continue;
     if (s.table.size() + 1 >= kMaxMembers || s.table.contains(u.member)) continue;
     Member& m = s.table[u.member];
-    m.told = u;
-    m.told.incarnation = 0;
-    m.told.health = Health::dead;
-    m.told.by = {};
-    m.since = s.began;
+    m.update = u;
+    m.update.incarnation = 0;
+    m.update.health = Health::dead;
+    m.update.by = {};
+    m.health_since = s.started_at;
   }
 }
 
-void Members::heard(Time now, const Message& message, Actions& actions) {
-  state_->heard(now, message, actions);
+void Members::receive(Time now, const Message& message, Actions& actions) {
+  state_->receive(now, message, actions);
 }
 void Members::tick(Time now, Actions& actions) { state_->tick(now, actions); }
 Time Members::next() const { return state_->next(); }
 
 void Members::leave(Time now, Actions& actions) {
   State& s = *state_;
-  if (!s.begun || s.left) return;
+  if (!s.started || s.left) return;
   s.left = true;
-  std::vector<MemberId> told = s.order.all();
-  std::size_t most = std::max<std::size_t>(3, s.times());
-  for (; most > 0 && !told.empty(); --most) {
-    const std::size_t drawn = s.draws.below(told.size());
-    const MemberId member = told[drawn];
-    told.erase(told.begin() + static_cast<std::ptrdiff_t>(drawn));
-    s.ping(member, s.table.at(member).told.at, ++s.sequence, actions);
+  std::vector<MemberId> receivers = s.probe_order.all();
+  std::size_t remaining = std::max<std::size_t>(3, s.max_transmissions());
+  for (; remaining > 0 && !receivers.empty(); --remaining) {
+    const std::size_t drawn = s.random.below(receivers.size());
+    const MemberId member = receivers[drawn];
+    receivers.erase(receivers.begin() + static_cast<std::ptrdiff_t>(drawn));
+    s.ping(member, s.table.at(member).update.at, ++s.sequence, actions);
   }
   s.probe.reset();
   s.relays.clear();
@@ -68,56 +68,61 @@
 
 void Members::incarnation_persisted(Time now, Incarnation to, Actions& actions) {
   State& s = *state_;
-  s.kept = std::max(s.kept, to);
-  if (s.wanted != 0 && s.wanted <= s.kept) s.raise(s.wanted - 1, actions);
+  s.persisted = std::max(s.persisted, to);
+  if (s.pending_incarnation != 0 && s.pending_incarnation <= s.persisted)
+    s.raise_incarnation(s.pending_incarnation - 1, actions);
   (void)now;
 }
 
-void Members::configured(std::uint64_t epoch) { state_->self.epoch = epoch; }
+void Members::set_epoch(std::uint64_t epoch) { state_->self.epoch = epoch; }
 
 const Self& Members::self() const { return state_->self; }
 const std::map<MemberId, Member>& Members::table() const { return state_->table; }
-std::uint64_t Members::incarnations() const { return state_->incarnations; }
+std::uint64_t Members::incarnation_sum() const { return state_->incarnation_sum; }
 std::size_t Members::alive() const { return state_->live(); }
 std::vector<MemberId> Members::live() const {
-  std::vector<MemberId> all = state_->order.all();
+  std::vector<MemberId> all = state_->probe_order.all();
   all.push_back(state_->self.id);
   std::sort(all.begin(), all.end());
   return all;
 }
-std::size_t Members::health() const { return state_->health; }
-const Refused& Members::refused() const { return state_->refused; }
+std::size_t Members::health_multiplier() const { return state_->health_multiplier; }
+const Rejections& Members::rejections() const { return state_->rejections; }
 
 void Members::check() const {
   const State& s = *state_;
-  const auto held = [](bool holds, const char* what) {
-    if (!holds) throw std::logic_error(std::string("members: ") + what);
+  const auto require = [](bool condition, const char* message) {
+    if (!condition) throw std::logic_error(std::string("members: ") + message);
   };
-  held(!s.table.contains(s.self.id), "oneself is in the table");
-  held(s.table.size() < kMaxMembers, "the table is over its bound");
-  held(s.self.incarnation <= s.kept, "an incarnation is used that is not kept");
-  held(s.health >= 1 && s.health <= std::max<std::size_t>(1, s.settings.health_most),
-       "health is out of bounds");
-  held(s.spread.consistent(), "the queue and its index differ");
-  held(s.relays.size() <= kMostRelays, "too many probes in another's stead");
+  require(!s.table.contains(s.self.id), "the table contains this controller itself");
+  require(s.table.size() < kMaxMembers, "the table exceeds its bound");
+  require(s.self.incarnation <= s.persisted, "the incarnation in use is not persisted");
+  require(s.health_multiplier >= 1 &&
+              s.health_multiplier <= std::max<std::size_t>(1, s.settings.max_health_multiplier),
+          "the health multiplier is out of bounds");
+  require(s.broadcasts.consistent(), "the broadcast queue and its index differ");
+  require(s.relays.size() <= kMaxRelays, "too many relayed probes");
   std::size_t live = 0;
   std::size_t suspects = 0;
-  std::uint64_t incarnations = 0;
+  std::uint64_t incarnation_sum = 0;
   for (const auto& [id, m] : s.table) {
-    incarnations += m.told.incarnation;
-    held(id == m.told.member && id != MemberId{}, "a member is kept under another's id");
-    held(m.told.name.size() <= kMostName && m.told.zone.size() <= kMaxZoneBytes, "a name is over its bound");
+    incarnation_sum += m.update.incarnation;
+    require(id == m.update.member && id != MemberId{}, "a member is recorded under another id");
+    require(m.update.name.size() <= kMaxNameBytes && m.update.zone.size() <= kMaxZoneBytes,
+            "a name or zone exceeds its bound");
     if (s.is_live(m)) ++live;
-    held(s.is_live(m) == s.order.holds(id), "the order of probing is not those who live");
-    if (m.told.health == Health::suspect) ++suspects;
-    held((m.told.health == Health::suspect) == s.suspected.contains(id), "a suspicion and the table differ");
-    held(m.told.incarnation != 0 || m.told.health == Health::dead, "one under no incarnation lives");
+    require(s.is_live(m) == s.probe_order.contains(id), "the probe order and the live members differ");
+    if (m.update.health == Health::suspect) ++suspects;
+    require((m.update.health == Health::suspect) == s.suspicions.contains(id),
+            "the suspicions and the table differ");
+    require(m.update.incarnation != 0 || m.update.health == Health::dead,
+            "a member under incarnation 0 is not dead");
   }
-  held(live == s.order.all().size(), "one is probed twice or is not in the table");
-  held(incarnations == s.incarnations, "the sum of incarnations and the table differ");
-  held(suspects == s.suspected.size(), "a suspicion of nobody");
-  held(s.spread.size() <= s.table.size() + 1, "news of nobody");
-  held(!s.probe || s.order.holds(s.probe->target), "the probe is of one who does not live");
+  require(live == s.probe_order.all().size(), "the probe order has a duplicate or an unknown member");
+  require(incarnation_sum == s.incarnation_sum, "the sum of incarnations and the table differ");
+  require(suspects == s.suspicions.size(), "a suspicion of an unknown member");
+  require(s.broadcasts.size() <= s.table.size() + 1, "a broadcast about an unknown member");
+  require(!s.probe || s.probe_order.contains(s.probe->target), "the probed member is not live");
 }
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/messages.cpp
+++ b/src/fleet/members/messages.cpp
@@ -1,11 +1,12 @@
-// What is sent, and what comes: bounds first, then the news in it, then the answer.
+// Receiving and composing messages. A received message is validated first, then its updates are merged, then
+// it is answered.
 #include "fleet/members/bounds.h"
 #include "fleet/members/state.h"
 
 namespace reeltack::fleet::members {
 namespace {
 
-constexpr Duration kNamesakeAgain = std::chrono::minutes(1);
+constexpr Duration kDuplicateReportInterval = std::chrono::minutes(1);
 
 const Update* of_sender(const Message& message) {
   for (const Update& u : message.updates) {
@@ -16,61 +17,63 @@
 
 }  // namespace
 
-bool Members::State::taken(const Message& message) {
-  if (message.envelope.fleet != self.fleet) return ++refused.stranger, false;
+bool Members::State::accept(const Message& message) {
+  if (message.envelope.fleet != self.fleet) return ++rejections.other_fleet, false;
   if (message.envelope.version < kOldestVersion || message.envelope.version > kNewestVersion) {
-    return ++refused.version, false;
+    return ++rejections.version, false;
   }
-  if (!well_formed(message)) return ++refused.malformed, false;
-  const bool meant = message.target == self.id;
-  if (message.kind == Kind::ping && !meant) return ++refused.not_meant, false;
-  if (message.kind == Kind::ping_request && meant) return ++refused.not_meant, false;
+  if (!well_formed(message)) return ++rejections.malformed, false;
+  const bool for_us = message.target == self.id;
+  if (message.kind == Kind::ping && !for_us) return ++rejections.wrong_target, false;
+  if (message.kind == Kind::ping_request && for_us) return ++rejections.wrong_target, false;
   return true;
 }
 
-void Members::State::heard(Time now, const Message& message, Actions& actions) {
-  if (!begun || left) return;
-  woke(now);
-  if (!taken(message)) return;
+void Members::State::receive(Time now, const Message& message, Actions& actions) {
+  if (!started || left) return;
+  adjust_after_pause(now);
+  if (!accept(message)) return;
   const MemberId from = message.envelope.from;
   const Update* sender = of_sender(message);
-  if (from == self.id) {  // the own words, come back by a seed's address that is the own, or another process
-    ++refused.own_name;
+  if (from == self.id) {  // our own message, returned by a seed whose address is ours, or another process
+    ++rejections.own_id;
     const bool elsewhere = sender != nullptr && sender->at != self.at;
     if (elsewhere || message.envelope.incarnation > self.incarnation) {
-      namesake(now, message.envelope.incarnation, elsewhere ? sender->at : Endpoint{}, actions);
+      report_duplicate(now, message.envelope.incarnation, elsewhere ? sender->at : Endpoint{}, actions);
     }
     return;
   }
   auto known = table.find(from);
   const bool was_dead = known != table.end() && !is_live(known->second);
   for (const Update& u : message.updates) {
-    learn(now, u, message.kind == Kind::table && u.member != from ? Way::table : Way::passed_on, from,
-          actions);
+    apply_update(now, u,
+                 message.kind == Kind::table && u.member != from ? Source::table_exchange : Source::gossip,
+                 from, actions);
   }
   known = table.find(from);
   if (known != table.end()) {
     Member& member = known->second;
-    if (message.envelope.incarnation > member.told.incarnation) {
-      Update spoke = member.told;
-      spoke.incarnation = message.envelope.incarnation;
-      spoke.health = Health::alive;
-      learn(now, spoke, Way::spoke, from, actions);
+    if (message.envelope.incarnation > member.update.incarnation) {
+      Update updated = member.update;
+      updated.incarnation = message.envelope.incarnation;
+      updated.health = Health::alive;
+      apply_update(now, updated, Source::direct_message, from, actions);
     }
-    if (message.envelope.incarnation < member.told.incarnation) {
-      behind.insert(from);
+    if (message.envelope.incarnation < member.update.incarnation) {
+      outdated.insert(from);
     } else {
-      behind.erase(from);
+      outdated.erase(from);
     }
-    member.heard = now;
+    member.last_received = now;
     member.epoch = message.envelope.epoch;
   }
-  if (sender == nullptr && known == table.end()) {  // nobody to answer; an answer in another's name may count
-    if (message.kind == Kind::ack || message.kind == Kind::nack) answered(message, actions);
+  if (sender == nullptr &&
+      known == table.end()) {  // no address to answer; an ack or nack may count all the same
+    if (message.kind == Kind::ack || message.kind == Kind::nack) on_answer(message, actions);
     return;
   }
-  const Endpoint at = sender != nullptr ? sender->at : known->second.told.at;
-  // Back from the dead: there may be a whole side of the fleet behind it.
+  const Endpoint at = sender != nullptr ? sender->at : known->second.update.at;
+  // A member held dead is back: a whole partition of the fleet may be behind it.
   if (was_dead && known != table.end() && is_live(known->second)) join(from, at, actions);
   switch (message.kind) {
     case Kind::ping: {
@@ -86,30 +89,30 @@
       return relay(now, message, at, actions);
     case Kind::ack:
     case Kind::nack:
-      return answered(message, actions);
+      return on_answer(message, actions);
     case Kind::join:
-      return answer_table(from, at, actions);
+      return send_table(from, at, actions);
     case Kind::table:
       return;
   }
 }
 
-void Members::State::relay(Time now, const Message& heard, const Endpoint& at, Actions& actions) {
-  if (relays.size() >= kMostRelays) return;
+void Members::State::relay(Time now, const Message& request, const Endpoint& at, Actions& actions) {
+  if (relays.size() >= kMaxRelays) return;
   Relay r;
-  r.origin = heard.envelope.from;
+  r.origin = request.envelope.from;
   r.origin_at = at;
-  r.origin_sequence = heard.sequence;
-  r.target = heard.target;
+  r.origin_sequence = request.sequence;
+  r.target = request.target;
   r.nack_at = now + settings.probe_timeout;
-  r.ends = now + 2 * settings.period;
+  r.expires_at = now + 2 * settings.period;
   const std::uint64_t own_sequence = ++sequence;
   relays.emplace(own_sequence, r);
-  ping(heard.target, heard.target_at, own_sequence, actions);
+  ping(request.target, request.target_at, own_sequence, actions);
 }
 
-// The start of a message: its envelope, oneself where an answer may be wanted, and what is held of the
-// receiver where it should know (it is suspected or dead, or lives under an incarnation that it has lost).
+// The start of a message: its envelope; this member where an answer may be expected; and what is recorded of
+// the receiver where it should know (it is suspected or dead, or recorded under an incarnation that it lost).
 Message Members::State::message(Kind kind, MemberId to) {
   Message m;
   m.kind = kind;
@@ -119,12 +122,12 @@
   m.envelope.from = self.id;
   m.envelope.incarnation = self.incarnation;
   if (kind != Kind::ack && kind != Kind::nack) add(m, own());
-  const auto held = table.find(to);
-  if (held == table.end()) return m;
-  const Health health = held->second.told.health;
-  const bool tell =
-      behind.contains(to) || health > Health::suspect || (health == Health::suspect && settings.buddy);
-  if (tell && held->second.told.incarnation != 0) add(m, held->second.told);
+  const auto recorded = table.find(to);
+  if (recorded == table.end()) return m;
+  const Health health = recorded->second.update.health;
+  const bool include_receiver =
+      outdated.contains(to) || health > Health::suspect || (health == Health::suspect && settings.buddy);
+  if (include_receiver && recorded->second.update.incarnation != 0) add(m, recorded->second.update);
   return m;
 }
 
@@ -132,13 +135,13 @@
 
 void Members::State::fill(Message& message) {
   std::size_t size = encoded_size(message);
-  spread.each(times(), [&](MemberId member) -> std::optional<bool> {
+  broadcasts.for_each(max_transmissions(), [&](MemberId member) -> std::optional<bool> {
     if (message.updates.size() >= kMaxUpdates) return std::nullopt;
-    const bool there = std::any_of(message.updates.begin(), message.updates.end(),
-                                   [&](const Update& u) { return u.member == member; });
-    if (there) return true;
-    const Update update = member == self.id ? own() : table.at(member).told;
-    if (size + encoded_size(update) > kMostBytes) return std::nullopt;
+    const bool included = std::any_of(message.updates.begin(), message.updates.end(),
+                                      [&](const Update& u) { return u.member == member; });
+    if (included) return true;
+    const Update update = member == self.id ? own() : table.at(member).update;
+    if (size + encoded_size(update) > kMaxMessageBytes) return std::nullopt;
     size += encoded_size(update);
     add(message, update);
     return true;
@@ -161,39 +164,40 @@
   send(member, at, message(Kind::join, member), actions);
 }
 
-// Those seeds and remembered members at whose address nobody known lives.
-void Members::State::ask_seeds(Actions& actions, std::size_t most) {
-  std::set<Endpoint> lived{self.at};
+// Asks those seeds and restored members at whose address no live member is known.
+void Members::State::join_seeds(Actions& actions, std::size_t max_seeds) {
+  std::set<Endpoint> in_use{self.at};
   std::vector<Endpoint> from = seeds;
   for (const auto& [id, m] : table) {
-    if (is_live(m)) lived.insert(m.told.at);
-    if (m.told.incarnation == 0 && !joined) from.push_back(m.told.at);
+    if (is_live(m)) in_use.insert(m.update.at);
+    if (m.update.incarnation == 0 && !joined_at) from.push_back(m.update.at);
   }
-  std::erase_if(from, [&](const Endpoint& at) { return lived.contains(at); });
-  for (std::size_t i = 0; i < std::min(most, from.size()); ++i) {
+  std::erase_if(from, [&](const Endpoint& at) { return in_use.contains(at); });
+  for (std::size_t i = 0; i < std::min(max_seeds, from.size()); ++i) {
     join({}, from[next_seed++ % from.size()], actions);
   }
 }
 
-void Members::State::answer_table(MemberId to, const Endpoint& at, Actions& actions) {
+void Members::State::send_table(MemberId to, const Endpoint& at, Actions& actions) {
   Message m = message(Kind::table, to);
   std::size_t size = encoded_size(m);
   for (const auto& [id, member] : table) {
-    if (id == to || member.told.incarnation == 0) continue;
-    if (size + encoded_size(member.told) > kMostBytes || m.updates.size() >= kMostTable) {
+    if (id == to || member.update.incarnation == 0) continue;
+    if (size + encoded_size(member.update) > kMaxMessageBytes || m.updates.size() >= kMaxTableUpdates) {
       send(to, at, std::move(m), actions);
       m = message(Kind::table, to);
       size = encoded_size(m);
     }
-    size += encoded_size(member.told);
-    add(m, member.told);
+    size += encoded_size(member.update);
+    add(m, member.update);
   }
   send(to, at, std::move(m), actions);
 }
 
-void Members::State::namesake(Time now, Incarnation incarnation, const Endpoint& at, Actions& actions) {
-  if (namesake_told && now < *namesake_told + kNamesakeAgain) return;
-  namesake_told = now;
+void Members::State::report_duplicate(Time now, Incarnation incarnation, const Endpoint& at,
+                                      Actions& actions) {
+  if (duplicate_reported_at && now < *duplicate_reported_at + kDuplicateReportInterval) return;
+  duplicate_reported_at = now;
   actions.emplace_back(DuplicateName{incarnation, at});
 }
 
--- a/src/fleet/members/order.h
+++ b/src/fleet/members/order.h
@@ -1,7 +1,5 @@
-// The order in which members are probed: round robin, each new one at a random place, shuffled anew each
-// round (SWIM 4.3), so that every member is probed within 2n - 1 periods.
-//
-// Owns: the order and the place in it. Must never: know a member's health.
+// The order in which members are probed: round robin, with each new member at a random position and a new
+// shuffle each round (SWIM 4.3), so that every member is probed within 2n - 1 periods.
 #pragma once
 
 #include <algorithm>
@@ -15,11 +13,11 @@
 
 class ProbeOrder {
  public:
-  void insert(MemberId member, Draws& draws) {
-    if (holds(member)) return;
-    const std::size_t place = draws.below(order_.size() + 1);
-    order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(place), member);
-    if (place < next_) ++next_;
+  void insert(MemberId member, Random& random) {
+    if (contains(member)) return;
+    const std::size_t position = random.below(order_.size() + 1);
+    order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(position), member);
+    if (position < next_) ++next_;
   }
   void erase(MemberId member) {
     const auto found = std::find(order_.begin(), order_.end(), member);
@@ -27,15 +25,15 @@
     if (static_cast<std::size_t>(found - order_.begin()) < next_) --next_;
     order_.erase(found);
   }
-  std::optional<MemberId> next(Draws& draws) {
+  std::optional<MemberId> next(Random& random) {
     if (order_.empty()) return std::nullopt;
     if (next_ >= order_.size()) {
-      for (std::size_t i = order_.size() - 1; i > 0; --i) std::swap(order_[i], order_[draws.below(i + 1)]);
+      for (std::size_t i = order_.size() - 1; i > 0; --i) std::swap(order_[i], order_[random.below(i + 1)]);
       next_ = 0;
     }
     return order_[next_++];
   }
-  [[nodiscard]] bool holds(MemberId member) const {
+  [[nodiscard]] bool contains(MemberId member) const {
     return std::find(order_.begin(), order_.end(), member) != order_.end();
   }
   [[nodiscard]] const std::vector<MemberId>& all() const { return order_; }
--- a/src/fleet/members/spread.cpp
+++ b/src/fleet/members/spread.cpp
@@ -1,29 +1,28 @@
-// The queue of news. Must never know the news itself.
 #include "fleet/members/spread.h"
 
 namespace reeltack::fleet::members {
 
-void Spread::put(MemberId member) {
+void BroadcastQueue::put(MemberId member) {
   drop(member);
-  const Place place{0, serial_--, member};
-  order_.insert(place);
-  places_.emplace(member, place);
+  const Entry entry{0, serial_--, member};
+  order_.insert(entry);
+  entries_.emplace(member, entry);
 }
 
-void Spread::drop(MemberId member) {
-  const auto found = places_.find(member);
-  if (found == places_.end()) return;
+void BroadcastQueue::drop(MemberId member) {
+  const auto found = entries_.find(member);
+  if (found == entries_.end()) return;
   order_.erase(found->second);
-  places_.erase(found);
+  entries_.erase(found);
 }
 
-void Spread::sent(MemberId member, std::size_t most_times) {
-  const auto found = places_.find(member);
-  if (found == places_.end()) return;
+void BroadcastQueue::record_sent(MemberId member, std::size_t max_transmissions) {
+  const auto found = entries_.find(member);
+  if (found == entries_.end()) return;
   order_.erase(found->second);
-  std::size_t& times = std::get<0>(found->second);
-  if (++times >= most_times) {
-    places_.erase(found);
+  std::size_t& transmissions = std::get<0>(found->second);
+  if (++transmissions >= max_transmissions) {
+    entries_.erase(found);
   } else {
     order_.insert(found->second);
   }
--- a/src/fleet/members/spread.h
+++ b/src/fleet/members/spread.h
@@ -1,6 +1,4 @@
-// What is still to be passed on, and what of it goes next.
-//
-// Owns: of whom there is news and how often it has left. Must never: know the news itself.
+// Queue of the members whose updates are still to be disseminated. The updates themselves are kept elsewhere.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +12,34 @@
 
 namespace reeltack::fleet::members {
 
-// Least often sent first, then the newest (SWIM 4.1).
-class Spread {
+// Ordered by the number of transmissions, fewest first, then by age, newest first (SWIM 4.1).
+class BroadcastQueue {
  public:
-  void put(MemberId member);  // news of it: from the start
+  void put(MemberId member);  // a new update: its transmissions are counted from zero
   void drop(MemberId member);
-  // Everything, from the first to go; `visit(member)` says whether it went. Stops when `visit` gives none.
+  // Visits all members in sending order. `visit(member)` returns whether the update was included in the
+  // message; visiting stops when it returns none.
   template <class Visit>
-  void each(std::size_t most_times, Visit visit) {
-    std::vector<MemberId> went;
-    for (const Place& place : order_) {
-      const std::optional<bool> answer = visit(std::get<2>(place));
+  void for_each(std::size_t max_transmissions, Visit visit) {
+    std::vector<MemberId> included;
+    for (const Entry& entry : order_) {
+      const std::optional<bool> answer = visit(std::get<2>(entry));
       if (!answer) break;
-      if (*answer) went.push_back(std::get<2>(place));
+      if (*answer) included.push_back(std::get<2>(entry));
     }
-    for (const MemberId member : went) sent(member, most_times);
+    for (const MemberId member : included) record_sent(member, max_transmissions);
   }
-  [[nodiscard]] std::size_t size() const { return places_.size(); }
-  [[nodiscard]] bool holds(MemberId member) const { return places_.contains(member); }
-  [[nodiscard]] bool consistent() const { return order_.size() == places_.size(); }
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
+  [[nodiscard]] bool contains(MemberId member) const { return entries_.contains(member); }
+  [[nodiscard]] bool consistent() const { return order_.size() == entries_.size(); }
 
  private:
-  using Place = std::tuple<std::size_t, std::uint64_t, MemberId>;  // times sent, age (newest lowest), of whom
-  void sent(MemberId member, std::size_t most_times);
+  using Entry =
+      std::tuple<std::size_t, std::uint64_t, MemberId>;  // transmissions, age (newest lowest), member
+  void record_sent(MemberId member, std::size_t max_transmissions);
 
-  std::set<Place> order_;
-  std::map<MemberId, Place> places_;
+  std::set<Entry> order_;
+  std::map<MemberId, Entry> entries_;
   std::uint64_t serial_ = ~std::uint64_t{0};
 };
 
--- a/src/fleet/members/state.h
+++ b/src/fleet/members/state.h
@@ -1,7 +1,6 @@
-// The state behind Members. Its parts: table.cpp (what is believed of whom), probe.cpp (probing and time),
-// messages.cpp (what is sent and what comes), members.cpp (the public face and its invariants).
-//
-// Owns: all of it. Must never: be seen outside of the room.
+// The implementation of Members, private to this module. table.cpp merges updates into the table, probe.cpp
+// does probing and timing, messages.cpp receives and composes messages, members.cpp holds the public
+// functions and the invariants.
 #pragma once
 
 #include <algorithm>
@@ -15,18 +14,19 @@
 
 namespace reeltack::fleet::members {
 
-enum class Way : std::uint8_t { own_probe, own_time, spoke, passed_on, table };
+// How an update became known.
+enum class Source : std::uint8_t { failed_probe, suspicion_timeout, direct_message, gossip, table_exchange };
 
 struct Probe {
   MemberId target{};
   std::uint64_t sequence = 0;
   Time indirect_at{};
-  bool asked_others = false;
+  bool indirect_sent = false;
   bool answered = false;
-  std::set<MemberId> asked;
+  std::set<MemberId> helpers;  // members asked to probe the target
   std::set<MemberId> nacks;
 };
-// A probe in another's stead.
+// A probe on behalf of another member.
 struct Relay {
   MemberId origin{};
   Endpoint origin_at{};
@@ -34,95 +34,100 @@
   MemberId target{};
   Time nack_at{};
   bool nacked = false;
-  Time ends{};
+  Time expires_at{};
 };
 
 class Members::State {
  public:
-  State(const MembersSettings& wanted, const Self& me, std::span<const Endpoint> asked, std::uint64_t seed)
-      : settings(wanted), self(me), seeds(asked.begin(), asked.end()), draws(seed), kept(me.incarnation) {}
+  State(const MembersSettings& with, const Self& me, std::span<const Endpoint> from, std::uint64_t seed)
+      : settings(with), self(me), seeds(from.begin(), from.end()), random(seed), persisted(me.incarnation) {}
 
   // table.cpp
-  void learn(Time now, const Update& update, Way way, MemberId from, Actions& actions);
+  void apply_update(Time now, const Update& update, Source source, MemberId from, Actions& actions);
   void suspect(Time now, MemberId member, Actions& actions);
-  void suspicions(Time now, Actions& actions);
-  void raise(Incarnation above, Actions& actions);
-  void forget(Time now);
+  void expire_suspicions(Time now, Actions& actions);
+  void raise_incarnation(Incarnation above, Actions& actions);
+  void remove_expired(Time now);
   // probe.cpp
-  void woke(Time now);
+  void adjust_after_pause(Time now);
   void tick(Time now, Actions& actions);
-  void answered(const Message& message, Actions& actions);
+  void on_answer(const Message& message, Actions& actions);
   [[nodiscard]] Time next() const;
   // messages.cpp
-  bool taken(const Message& message);
-  void heard(Time now, const Message& message, Actions& actions);
+  bool accept(const Message& message);
+  void receive(Time now, const Message& message, Actions& actions);
   void ping(MemberId member, const Endpoint& at, std::uint64_t sequence, Actions& actions);
   void send(MemberId member, const Endpoint& at, Message message, Actions& actions);
   Message message(Kind kind, MemberId to);
   void fill(Message& message);
   void add(Message& message, const Update& update) const;
   void join(MemberId member, const Endpoint& at, Actions& actions);
-  void ask_seeds(Actions& actions, std::size_t most);
-  void answer_table(MemberId to, const Endpoint& at, Actions& actions);
-  void namesake(Time now, Incarnation incarnation, const Endpoint& at, Actions& actions);
+  void join_seeds(Actions& actions, std::size_t max_seeds);
+  void send_table(MemberId to, const Endpoint& at, Actions& actions);
+  void report_duplicate(Time now, Incarnation incarnation, const Endpoint& at, Actions& actions);
 
-  [[nodiscard]] bool is_live(const Member& m) const { return m.told.health <= Health::suspect; }
-  [[nodiscard]] std::size_t live() const { return order.all().size() + 1; }
-  [[nodiscard]] std::size_t times() const;  // that news leaves
+  [[nodiscard]] bool is_live(const Member& m) const { return m.update.health <= Health::suspect; }
+  [[nodiscard]] std::size_t live() const { return probe_order.all().size() + 1; }
+  [[nodiscard]] std::size_t max_transmissions() const;  // of an update
   [[nodiscard]] Update own() const;
-  [[nodiscard]] Duration scaled(Duration d) const { return d * static_cast<Duration::rep>(health); }
-  void worse(std::size_t by) {
-    health = std::min(health + by, std::max<std::size_t>(settings.health_most, 1));
+  [[nodiscard]] Duration scaled(Duration d) const {
+    return d * static_cast<Duration::rep>(health_multiplier);
   }
-  void better() { health = std::max<std::size_t>(health - 1, 1); }
+  void degrade_health(std::size_t by) {
+    health_multiplier =
+        std::min(health_multiplier + by, std::max<std::size_t>(settings.max_health_multiplier, 1));
+  }
+  void improve_health() { health_multiplier = std::max<std::size_t>(health_multiplier - 1, 1); }
 
   MembersSettings settings;
   Self self;
   std::vector<Endpoint> seeds;
-  Draws draws;
+  Random random;
   std::map<MemberId, Member> table;
-  std::uint64_t incarnations = 0;           // of the table, all together: asked for with every message
-  std::map<MemberId, Suspicion> suspected;  // those of the table whose health is suspect
-  std::set<MemberId> behind;                // who spoke last under a lower incarnation than is held of them
-  ProbeOrder order;                         // those of the table who live
-  Spread spread;
-  Refused refused;
+  std::uint64_t incarnation_sum = 0;  // over the table; kept up to date, since it is read after every message
+  std::map<MemberId, Suspicion> suspicions;  // one for each suspect of the table
+  std::set<MemberId> outdated;  // members whose last message had a lower incarnation than recorded here
+  ProbeOrder probe_order;       // the live members of the table
+  BroadcastQueue broadcasts;
+  Rejections rejections;
   std::optional<Probe> probe;
-  std::map<std::uint64_t, Relay> relays;  // by the own sequence
+  std::map<std::uint64_t, Relay> relays;  // by the sequence of our own ping
   std::uint64_t sequence = 0;
-  std::uint64_t period = 0;
-  std::size_t health = 1;
-  MemberId last_dead{};       // the dead are probed by id, in turn
-  std::size_t next_seed = 0;  // so are the seeds
-  bool begun = false;
+  std::uint64_t period_count = 0;
+  std::size_t health_multiplier = 1;
+  MemberId last_dead{};       // probed last of the dead, which take turns by id
+  std::size_t next_seed = 0;  // seeds take turns as well
+  bool started = false;
   bool left = false;
-  Time began{};
-  Time period_ends{};
-  Time ask_at{};
+  Time started_at{};
+  Time period_end{};
+  Time join_at{};
   Time exchange_at{};
-  Duration exchange_after{};
-  bool part_lacks = false;  // a table brought somebody new: the next exchange asks for one in any case
-  std::optional<Time> joined;
-  std::optional<Time> namesake_told;
-  Incarnation kept;        // may be used up to this
-  Incarnation asked = 0;   // to be kept
-  Incarnation wanted = 0;  // taken as soon as it is kept; 0: none
+  Duration exchange_interval{};
+  bool table_incomplete =
+      false;  // a table named a new member: the next exchange requests a table in any case
+  std::optional<Time> joined_at;
+  std::optional<Time> duplicate_reported_at;
+  Incarnation persisted;                // the highest that may be used
+  Incarnation requested = 0;            // to be persisted
+  Incarnation pending_incarnation = 0;  // to be taken once it is persisted; 0: none
 
  private:
-  void own_news(Time now, const Update& update, Actions& actions);
-  void stranger(Time now, const Update& update, Way way, Actions& actions);
-  void become(Time now, Member& member, const Update& told, Way way, Actions& actions);
-  void suspicion(Time now, const Update& told);
+  void apply_own_update(Time now, const Update& update, Actions& actions);
+  void add_member(Time now, const Update& update, Source source, Actions& actions);
+  void change_member(Time now, Member& member, const Update& update, Source source, Actions& actions);
+  void start_suspicion(Time now, const Update& update);
   bool make_room();
   void relay(Time now, const Message& message, const Endpoint& at, Actions& actions);
-  void direct_over(Actions& actions);
-  void period_over(Time now, Actions& actions);
+  void send_indirect_probes(Actions& actions);
+  void start_period(Time now, Actions& actions);
   void probe_dead(Actions& actions);
-  [[nodiscard]] std::size_t paces() const;  // settled exchanges to one that asks for a table, in the mean
-  void exchange(Time now, Actions& actions);
-  void relays_due(Time now, Actions& actions);
+  // Mean number of exchanges to one that requests a table, once all have joined.
+  [[nodiscard]] std::size_t exchanges_per_table() const;
+  void exchange_tables(Time now, Actions& actions);
+  void expire_relays(Time now, Actions& actions);
 };
 
-inline constexpr std::size_t kMostRelays = 1024;
+inline constexpr std::size_t kMaxRelays = 1024;
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/suspicion.cpp
+++ b/src/fleet/members/suspicion.cpp
@@ -1,4 +1,3 @@
-// The end of a suspicion. Must never hold state.
 #include "fleet/members/suspicion.h"
 
 #include <algorithm>
@@ -6,12 +5,13 @@
 
 namespace reeltack::fleet::members {
 
-Time Suspicion::ends() const {
-  if (wanted == 0) return started + least;
-  const double part =
-      std::log(static_cast<double>(confirmed.size()) + 1.0) / std::log(static_cast<double>(wanted) + 1.0);
-  const auto off = static_cast<Duration::rep>(static_cast<double>((most - least).count()) * part);
-  return started + std::max(least, most - Duration(off));
+Time Suspicion::expires_at() const {
+  if (max_confirmations == 0) return started + min_duration;
+  const double fraction = std::log(static_cast<double>(confirmed_by.size()) + 1.0) /
+                          std::log(static_cast<double>(max_confirmations) + 1.0);
+  const auto reduction =
+      static_cast<Duration::rep>(static_cast<double>((max_duration - min_duration).count()) * fraction);
+  return started + std::max(min_duration, max_duration - Duration(reduction));
 }
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/suspicion.h
+++ b/src/fleet/members/suspicion.h
@@ -1,7 +1,5 @@
-// How long a suspicion lasts (Lifeguard, LHA-Suspicion): from most down to least with the logarithm of the
-// number of members that confirm it.
-//
-// Owns: one suspicion. Must never: know whom it is of.
+// The duration of one suspicion (Lifeguard, LHA-Suspicion): it shrinks from the maximum to the minimum with
+// the logarithm of the number of members that confirm it.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +11,18 @@
 
 struct Suspicion {
   Time started{};
-  Duration least{};
-  Duration most{};
-  std::size_t wanted = 0;  // confirmations that bring it down to the least; 0: it is the least at once
-  MemberId first{};        // who suspected first, as far as was told
-  std::set<MemberId> confirmed;
+  Duration min_duration{};
+  Duration max_duration{};
+  std::size_t max_confirmations = 0;  // as many bring it down to the minimum; 0: it lasts the minimum
+  MemberId first_by{};                // the first member known to suspect
+  std::set<MemberId> confirmed_by;
 
-  // True: a new one, to be passed on.
+  // True if this confirmation is new and is to be passed on.
   bool confirm(MemberId by) {
-    return by != MemberId{} && by != first && confirmed.size() < wanted && confirmed.insert(by).second;
+    return by != MemberId{} && by != first_by && confirmed_by.size() < max_confirmations &&
+           confirmed_by.insert(by).second;
   }
-  [[nodiscard]] Time ends() const;
+  [[nodiscard]] Time expires_at() const;
 };
 
 }  // namespace reeltack::fleet::members
--- a/src/fleet/members/table.cpp
+++ b/src/fleet/members/table.cpp
@@ -1,4 +1,4 @@
-// What is believed of whom: the higher incarnation, then the worse health. Suspicions and refutation.
+// Merging updates into the table: the higher incarnation wins, then the worse health. Suspicions, refutation.
 #include <cmath>
 #include <utility>
 
@@ -11,181 +11,185 @@
   return std::pair(a.incarnation, a.health) > std::pair(b.incarnation, b.health);
 }
 
-const char* reason(Way way) {
-  switch (way) {
-    case Way::own_probe:
+const char* reason(Source source) {
+  switch (source) {
+    case Source::failed_probe:
       return "no answer";
-    case Way::own_time:
+    case Source::suspicion_timeout:
       return "nobody refuted";
-    case Way::spoke:
+    case Source::direct_message:
       return "spoke";
-    case Way::passed_on:
+    case Source::gossip:
       return "passed on";
-    case Way::table:
+    case Source::table_exchange:
       return "in a table";
   }
   return "";
 }
 
-constexpr Duration kOldSelf = std::chrono::minutes(1);
+constexpr Duration kMinRunBeforeDuplicateReport = std::chrono::minutes(1);
 
 }  // namespace
 
-std::size_t Members::State::times() const {
-  const double times = settings.spread * std::log10(static_cast<double>(live()) + 1.0);
-  return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(times)));
+std::size_t Members::State::max_transmissions() const {
+  const double transmissions = settings.retransmit_multiplier * std::log10(static_cast<double>(live()) + 1.0);
+  return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(transmissions)));
 }
 
 Update Members::State::own() const {
   return {self.id, self.incarnation, left ? Health::left : Health::alive, self.at, self.name, self.zone, {}};
 }
 
-void Members::State::learn(Time now, const Update& update, Way way, MemberId from, Actions& actions) {
-  if (update.member == self.id) return own_news(now, update, actions);
+void Members::State::apply_update(Time now, const Update& update, Source source, MemberId from,
+                                  Actions& actions) {
+  if (update.member == self.id) return apply_own_update(now, update, actions);
   const auto found = table.find(update.member);
-  if (found == table.end()) return stranger(now, update, way, actions);
+  if (found == table.end()) return add_member(now, update, source, actions);
   Member& member = found->second;
-  Update told = update;
-  if (way == Way::table && told.health == Health::dead && is_live(member)) {
-    told.health = Health::suspect;
-    told.by = from;
+  Update merged = update;
+  if (source == Source::table_exchange && merged.health == Health::dead && is_live(member)) {
+    merged.health = Health::suspect;
+    merged.by = from;
   }
-  if (told.incarnation == member.told.incarnation && told.health == Health::suspect &&
-      member.told.health == Health::suspect) {
-    if (!suspected.at(told.member).confirm(told.by)) return;
-    member.told.by = told.by;  // each confirmation travels under its own name
-    spread.put(told.member);
+  if (merged.incarnation == member.update.incarnation && merged.health == Health::suspect &&
+      member.update.health == Health::suspect) {
+    if (!suspicions.at(merged.member).confirm(merged.by)) return;
+    member.update.by = merged.by;  // each confirmation is disseminated under the confirming member's id
+    broadcasts.put(merged.member);
     return;
   }
-  if (newer(told, member.told)) become(now, member, told, way, actions);
+  if (newer(merged, member.update)) change_member(now, member, merged, source, actions);
 }
 
-void Members::State::stranger(Time now, const Update& update, Way way, Actions& actions) {
+void Members::State::add_member(Time now, const Update& update, Source source, Actions& actions) {
   if (update.health >= Health::dead) return;
   if (table.size() + 1 >= kMaxMembers && !make_room()) {
-    ++refused.full;
+    ++rejections.table_full;
     return;
   }
   Member& member = table[update.member];
-  incarnations += update.incarnation - member.told.incarnation;
-  member.told = update;
-  member.since = now;
-  order.insert(update.member, draws);
-  if (update.health == Health::suspect) suspicion(now, update);
-  // A newcomer's first tables are known to everyone else.
-  const bool first_tables = way == Way::table && (!joined || now < *joined + 10 * settings.period);
-  if (!joined) {
-    joined = now;
-    exchange_after = settings.period;
-    exchange_at = now + exchange_after;
+  incarnation_sum += update.incarnation - member.update.incarnation;
+  member.update = update;
+  member.health_since = now;
+  probe_order.insert(update.member, random);
+  if (update.health == Health::suspect) start_suspicion(now, update);
+  // Everyone else already knows what a new member learns from its first tables, so it is not broadcast.
+  const bool first_tables =
+      source == Source::table_exchange && (!joined_at || now < *joined_at + 10 * settings.period);
+  if (!joined_at) {
+    joined_at = now;
+    exchange_interval = settings.period;
+    exchange_at = now + exchange_interval;
   }
-  if (!first_tables) spread.put(update.member);
-  // A table that brings somebody new may have a part that was lost.
-  if (way == Way::table) {
+  if (!first_tables) broadcasts.put(update.member);
+  // Where a table names a new member, another part of it may have been lost.
+  if (source == Source::table_exchange) {
     exchange_at = std::min(exchange_at, now + 2 * settings.period);
-    part_lacks = true;
+    table_incomplete = true;
   }
   actions.emplace_back(
-      HealthChanged{update.member, std::nullopt, update.health, update.incarnation, reason(way)});
+      HealthChanged{update.member, std::nullopt, update.health, update.incarnation, reason(source)});
 }
 
-void Members::State::become(Time now, Member& member, const Update& told, Way way, Actions& actions) {
-  const Health before = member.told.health;
-  if (told.incarnation > member.told.incarnation) {
-    incarnations += told.incarnation - member.told.incarnation;
-    member.told = told;
-  } else {  // of one incarnation only its health changes: the rest are the member's own words
-    member.told.health = told.health;
-    member.told.by = told.by;
+void Members::State::change_member(Time now, Member& member, const Update& update, Source source,
+                                   Actions& actions) {
+  const Health before = member.update.health;
+  if (update.incarnation > member.update.incarnation) {
+    incarnation_sum += update.incarnation - member.update.incarnation;
+    member.update = update;
+  } else {  // within one incarnation only its health changes; the other fields are its own statements
+    member.update.health = update.health;
+    member.update.by = update.by;
   }
-  const MemberId id = told.member;
-  suspected.erase(id);
-  if (told.health == Health::suspect) suspicion(now, told);
+  const MemberId id = update.member;
+  suspicions.erase(id);
+  if (update.health == Health::suspect) start_suspicion(now, update);
   if (is_live(member)) {
-    order.insert(id, draws);
+    probe_order.insert(id, random);
   } else {
-    order.erase(id);
+    probe_order.erase(id);
     if (probe && probe->target == id) probe.reset();
   }
-  spread.put(id);
-  if (before == told.health) return;  // a new incarnation of it, no other health
-  member.since = now;
-  actions.emplace_back(HealthChanged{id, before, told.health, told.incarnation, reason(way)});
+  broadcasts.put(id);
+  if (before == update.health) return;  // a new incarnation with the same health
+  member.health_since = now;
+  actions.emplace_back(HealthChanged{id, before, update.health, update.incarnation, reason(source)});
 }
 
-void Members::State::suspicion(Time now, const Update& told) {
+void Members::State::start_suspicion(Time now, const Update& update) {
   Suspicion s;
   s.started = now;
   const double size = std::max(1.0, std::log10(static_cast<double>(live())));
-  s.least = Duration(static_cast<Duration::rep>(settings.suspicion_least * size *
-                                                static_cast<double>(settings.period.count())));
-  s.most = Duration(static_cast<Duration::rep>(static_cast<double>(s.least.count()) *
-                                               std::max(1.0, settings.suspicion_most)));
-  // Oneself, the suspect and the first to suspect cannot confirm.
-  s.wanted = std::min(settings.confirmations, live() - std::min<std::size_t>(live(), 3));
-  s.first = told.by;
-  suspected[told.member] = std::move(s);
+  s.min_duration = Duration(static_cast<Duration::rep>(settings.suspicion_multiplier * size *
+                                                       static_cast<double>(settings.period.count())));
+  s.max_duration = Duration(static_cast<Duration::rep>(static_cast<double>(s.min_duration.count()) *
+                                                       std::max(1.0, settings.suspicion_max_multiplier)));
+  // This member, the suspect and the first member to suspect cannot confirm.
+  s.max_confirmations = std::min(settings.max_confirmations, live() - std::min<std::size_t>(live(), 3));
+  s.first_by = update.by;
+  suspicions[update.member] = std::move(s);
 }
 
 void Members::State::suspect(Time now, MemberId member, Actions& actions) {
   const auto found = table.find(member);
   if (found == table.end() || !is_live(found->second)) return;
-  Update told = found->second.told;
-  told.health = Health::suspect;
-  told.by = self.id;
-  learn(now, told, Way::own_probe, self.id, actions);
+  Update update = found->second.update;
+  update.health = Health::suspect;
+  update.by = self.id;
+  apply_update(now, update, Source::failed_probe, self.id, actions);
 }
 
-void Members::State::suspicions(Time now, Actions& actions) {
-  std::vector<MemberId> over;
-  for (const auto& [id, s] : suspected) {
-    if (now >= s.ends()) over.push_back(id);
+void Members::State::expire_suspicions(Time now, Actions& actions) {
+  std::vector<MemberId> expired;
+  for (const auto& [id, s] : suspicions) {
+    if (now >= s.expires_at()) expired.push_back(id);
   }
-  for (const MemberId id : over) {
-    Update told = table.at(id).told;
-    told.health = Health::dead;
-    told.by = self.id;
-    learn(now, told, Way::own_time, self.id, actions);
+  for (const MemberId id : expired) {
+    Update update = table.at(id).update;
+    update.health = Health::dead;
+    update.by = self.id;
+    apply_update(now, update, Source::suspicion_timeout, self.id, actions);
   }
 }
 
-// Of oneself one knows better: what is told of an own incarnation not yet taken is outbid.
-void Members::State::own_news(Time now, const Update& update, Actions& actions) {
+// A report about ourselves that is newer or worse than our own state is refuted by a higher incarnation.
+void Members::State::apply_own_update(Time now, const Update& update, Actions& actions) {
   if (left || std::pair(update.incarnation, update.health) <= std::pair(self.incarnation, Health::alive))
     return;
-  if (update.health == Health::alive && update.at != self.at && now > began + kOldSelf) {
-    namesake(now, update.incarnation, update.at, actions);
+  if (update.health == Health::alive && update.at != self.at &&
+      now > started_at + kMinRunBeforeDuplicateReport) {
+    report_duplicate(now, update.incarnation, update.at, actions);
   }
-  if (update.incarnation < wanted) return;
-  if (update.health != Health::alive && update.incarnation == self.incarnation) worse(1);
-  raise(update.incarnation, actions);
+  if (update.incarnation < pending_incarnation) return;
+  if (update.health != Health::alive && update.incarnation == self.incarnation) degrade_health(1);
+  raise_incarnation(update.incarnation, actions);
 }
 
-void Members::State::raise(Incarnation above, Actions& actions) {
+void Members::State::raise_incarnation(Incarnation above, Actions& actions) {
   if (above + 1 >= kMaxIncarnation) return;
-  wanted = std::max(wanted, above + 1);
-  if (wanted <= kept) {
-    self.incarnation = wanted;
-    wanted = 0;
-    spread.put(self.id);
+  pending_incarnation = std::max(pending_incarnation, above + 1);
+  if (pending_incarnation <= persisted) {
+    self.incarnation = pending_incarnation;
+    pending_incarnation = 0;
+    broadcasts.put(self.id);
   }
-  // The next block is asked for when half of this one is used.
-  const Incarnation used = std::max(wanted, self.incarnation);
-  const Incarnation held = std::max(kept, asked);
-  if (used <= held && held - used >= settings.ahead / 2) return;
-  asked = used + settings.ahead;
-  actions.emplace_back(PersistIncarnation{asked});
+  // The next block is requested when half of this one is used.
+  const Incarnation used = std::max(pending_incarnation, self.incarnation);
+  const Incarnation reserved = std::max(persisted, requested);
+  if (used <= reserved && reserved - used >= settings.incarnation_block / 2) return;
+  requested = used + settings.incarnation_block;
+  actions.emplace_back(PersistIncarnation{requested});
 }
 
-void Members::State::forget(Time now) {
+void Members::State::remove_expired(Time now) {
   for (auto m = table.begin(); m != table.end();) {
-    if (is_live(m->second) || now < m->second.since + settings.dead_kept) {
+    if (is_live(m->second) || now < m->second.health_since + settings.dead_retention) {
       ++m;
       continue;
     }
-    spread.drop(m->first);
-    behind.erase(m->first);
-    incarnations -= m->second.told.incarnation;
+    broadcasts.drop(m->first);
+    outdated.erase(m->first);
+    incarnation_sum -= m->second.update.incarnation;
     m = table.erase(m);
   }
 }
@@ -194,12 +198,12 @@
   auto oldest = table.end();
   for (auto m = table.begin(); m != table.end(); ++m) {
     if (is_live(m->second)) continue;
-    if (oldest == table.end() || m->second.since < oldest->second.since) oldest = m;
+    if (oldest == table.end() || m->second.health_since < oldest->second.health_since) oldest = m;
   }
   if (oldest == table.end()) return false;
-  spread.drop(oldest->first);
-  behind.erase(oldest->first);
-  incarnations -= oldest->second.told.incarnation;
+  broadcasts.drop(oldest->first);
+  outdated.erase(oldest->first);
+  incarnation_sum -= oldest->second.update.incarnation;
   table.erase(oldest);
   return true;
 }
--- a/src/fleet/news/news.h
+++ b/src/fleet/news/news.h
@@ -134,7 +134,7 @@
 
   EagerPushSettings settings_;
   MemberId self_;
-  members::Draws draws_;
+  members::Random draws_;
   std::map<ServerId, Known> known_;
   std::map<Meaning, Telling> telling_;
   std::map<MemberId, Second> fresh_;
--- a/src/fleet/pace/pace.h
+++ b/src/fleet/pace/pace.h
@@ -95,7 +95,7 @@
   [[nodiscard]] std::optional<MemberId> whom() const;
 
   GossipScheduleSettings settings_;
-  members::Draws draws_;
+  members::Random draws_;
   std::map<MemberId, Known> partners_;
   Time begun_ = Time::max();
   Time last_ = Time::max();  // when one was begun here last
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -169,7 +169,7 @@
     keeper_->remember(r.key, r.value);
     if (r.key == drift::kVoteRecord) earlier_.vote = drift::read_vote(r.value).value_or(drift::Vote{}).vote;
     if (r.key == drift::kApprovedRecord)
-      if (const auto version = drift::read_version(r.value)) earlier_.approved = name_of(*version);
+      if (const auto version = drift::read_version(r.value)) earlier_.approved = id_of(*version);
     if (r.key == kIncarnationKey) earlier_incarnation_ = number_of(r.value);
   }
 }
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -35,7 +35,7 @@
   [[nodiscard]] const std::optional<recovery::Kept>& kept() const { return kept_; }
   [[nodiscard]] const std::vector<members::Update>& remembered() const { return members_; }
   // Of this controller's own disk; a copied one has another's vote.
-  [[nodiscard]] const drift::Restored& rules() const { return rules_; }
+  [[nodiscard]] const drift::RecordsRestored& rules() const { return rules_; }
 
   void put(const Store& what);
   // Votes asked for by put() and durable now, once each. Never where there is no store.
@@ -67,7 +67,7 @@
   Incarnation incarnation_ = 1;
   std::optional<recovery::Kept> kept_;
   std::vector<members::Update> members_;
-  drift::Restored rules_;
+  drift::RecordsRestored rules_;
 
   std::map<std::string, Store> pending_;  // promises that the keeper has not taken yet
   bool unread_ = false;                   // there is a store, and what is in it is not known yet
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/reading.cpp
@@ -43,7 +43,7 @@
     out.emplace_back(drift::RulesReadBack{read_back()});
   }
   const std::lock_guard hold(lock_);
-  if (offered_) out.emplace_back(drift::Offered{*std::exchange(offered_, std::nullopt)});
+  if (offered_) out.emplace_back(drift::VersionOffered{*std::exchange(offered_, std::nullopt)});
   return out;
 }
 
--- a/src/fleet/service/shown.cpp
+++ b/src/fleet/service/shown.cpp
@@ -24,7 +24,7 @@
   minority_ = share.minority ? 1 : 0;
   agreed_ = share.size;
   alive_ = turn.members().alive();
-  health_ = turn.members().health();
+  health_ = turn.members().health_multiplier();
   incarnation_ = turn.members().self().incarnation;
   facts_ = turn.facts().size();
   fact_bytes_ = turn.facts().bytes();
@@ -48,10 +48,10 @@
 void Shown::take_rules(Time now, const drift::Drift& drift) {
   using drift::View;
   rules_at_ = now;
-  const auto figures = drift.figures(now);
+  const auto figures = drift.view_counts(now);
   const auto of = [&figures](View view) { return figures.views.at(static_cast<std::size_t>(view)); };
   rules_epoch_ = drift.approved() ? drift.approved()->epoch : 0;
-  rules_digest_ = drift.word() ? drift.word()->whole : 0;
+  rules_digest_ = drift.report() ? drift.report()->full_digest : 0;
   rules_in_step_ = of(View::in_step);
   rules_adopting_ = of(View::adopting) + of(View::ahead);
   rules_pending_ = of(View::pending);
--- a/src/fleet/turn/kept.cpp
+++ b/src/fleet/turn/kept.cpp
@@ -29,7 +29,7 @@
 std::string format_members(const members::Members& of) {
   std::string out;
   for (const auto& [id, member] : of.table()) {
-    const members::Update& u = member.told;
+    const members::Update& u = member.update;
     if (u.health == members::Health::left || (u.name + u.zone).find_first_of("\t\n") != std::string::npos)
       continue;
     out += std::to_string(static_cast<std::uint64_t>(id)) + '\t' + std::to_string(u.at.address) + '\t' +
@@ -53,7 +53,8 @@
     if (!figure(line, id) || !figure(line, u.at.address) || !figure(line, u.at.port) ||
         !figure(line, u.incarnation) || !field(line, name) || !field(line, zone))
       continue;
-    if (id == 0 || u.at.port == 0 || name.size() > members::kMostName || zone.size() > members::kMaxZoneBytes)
+    if (id == 0 || u.at.port == 0 || name.size() > members::kMaxNameBytes ||
+        zone.size() > members::kMaxZoneBytes)
       continue;
     u.member = MemberId{id};
     u.name = name;
--- a/src/fleet/turn/people.cpp
+++ b/src/fleet/turn/people.cpp
@@ -13,7 +13,7 @@
 
 void Turn::log_change(const members::HealthChanged& change, CoordinatorActions& actions) const {
   const auto found = members_.table().find(change.member);
-  const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
+  const std::string name = found == members_.table().end() ? "?" : found->second.update.name;
   actions.emplace_back(
       Log{"member", "name=" + name + " from=" + (change.from ? name_of(*change.from) : "unknown") +
                         " to=" + name_of(change.to) + " incarnation=" + std::to_string(change.incarnation) +
@@ -27,11 +27,11 @@
   for (const MemberId id : told.live) {
     const auto found = members_.table().find(id);
     told.incarnations.push_back(found == members_.table().end() ? members_.self().incarnation
-                                                                : found->second.told.incarnation);
+                                                                : found->second.update.incarnation);
   }
   told.known = 1;
   for (const auto& [id, member] : members_.table())
-    told.known += member.told.health != members::Health::left ? 1 : 0;
+    told.known += member.update.health != members::Health::left ? 1 : 0;
   std::vector<pace::Partner> partners;
   for (std::size_t i = 0; i < told.live.size(); ++i)
     if (told.live[i] != members_.self().id) partners.push_back({told.live[i], told.incarnations[i]});
--- a/src/fleet/turn/rules.cpp
+++ b/src/fleet/turn/rules.cpp
@@ -17,13 +17,13 @@
   if (people_changed_ || agreed_told_ != recovery_.largest()) {
     people_changed_ = false;
     agreed_told_ = recovery_.largest();
-    drift::Members told;
+    drift::MembersChanged told;
     told.agreed = agreed_told_;
     for (const auto& [id, member] : members_.table()) {
-      if (id == members_.self().id || member.told.health == members::Health::left) continue;
+      if (id == members_.self().id || member.update.health == members::Health::left) continue;
       const bool alive =
-          member.told.health == members::Health::alive || member.told.health == members::Health::suspect;
-      told.members.push_back({id, member.told.incarnation, member.told.name, member.told.zone, alive});
+          member.update.health == members::Health::alive || member.update.health == members::Health::suspect;
+      told.members.push_back({id, member.update.incarnation, member.update.name, member.update.zone, alive});
     }
     rule(now, told, actions);
   }
@@ -43,9 +43,9 @@
         continue;
       }
       if (!publish->renewal) pace_.changed(now);  // told on at once: drift is to be found in seconds
-    } else if (const auto* keep = std::get_if<drift::Keep>(&action)) {
+    } else if (const auto* keep = std::get_if<drift::Persist>(&action)) {
       actions.emplace_back(Store{keep->key, keep->value, keep->vote});
-    } else if (const auto* note = std::get_if<drift::Note>(&action)) {
+    } else if (const auto* note = std::get_if<drift::LogLine>(&action)) {
       const std::size_t space = note->text.find(' ');
       actions.emplace_back(Log{note->text.substr(0, space), note->text.substr(space + 1)});
     }
--- a/src/fleet/turn/talks.cpp
+++ b/src/fleet/turn/talks.cpp
@@ -16,7 +16,7 @@
   const ConnectionId id{++last_talk_ << 1U};
   talks_[id] = {.with = *with, .ours = true, .by = now + settings_.exchange_most};
   ++counts_.exchanges_started;
-  actions.emplace_back(Dial{id, member->second.told.at, *with});
+  actions.emplace_back(Dial{id, member->second.update.at, *with});
 }
 
 void Turn::opened(const Opened& opened, CoordinatorActions& actions) {
@@ -70,9 +70,9 @@
       say(said.id, talk, {envelope(), 1, {}, facts_.digest(e.summary), {}}, actions);
       break;
     case 1: {
-      facts::Digest wanted = facts_.wanted(e.digest);
+      facts::Digest wanted = facts_.request(e.digest);
       facts::Delta lacking = facts_.delta(now, e.digest);
-      const bool more = !wanted.known.empty();
+      const bool more = !wanted.entries.empty();
       if (more || !lacking.owners.empty())
         say(said.id, talk, {envelope(), 2, {}, std::move(wanted), std::move(lacking)}, actions);
       if (!more) end(now, said.id, true, true, actions);
@@ -80,7 +80,7 @@
     }
     case 2: {
       take(now, talk.with, e.delta, actions);  // first: who is asking gets the own word with this answer
-      if (!e.digest.known.empty())
+      if (!e.digest.entries.empty())
         say(said.id, talk, {envelope(), 3, {}, {}, facts_.delta(now, e.digest)}, actions);
       end(now, said.id, true, true, actions);
       break;
@@ -95,7 +95,7 @@
 void Turn::take(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions) {
   const std::uint64_t before = verdicts_;
   if (facts_.bytes() <= settings_.strangers_room) {
-    take(now, facts_.take(now, from, delta), actions);
+    take(now, facts_.apply(now, from, delta), actions);
   } else {
     facts::Delta known;
     for (const facts::OwnerDelta& part : delta.owners) {
@@ -105,7 +105,7 @@
         counts_.over_bound += part.facts.size();
       }
     }
-    take(now, facts_.take(now, from, known), actions);
+    take(now, facts_.apply(now, from, known), actions);
   }
   if (verdicts_ != before) pace_.changed(now);
 }
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/turn/turn.cpp
@@ -49,7 +49,7 @@
                  CoordinatorActions& actions) {
   begun_ = true;
   decide(now, recovery::Restored{std::move(kept)}, actions);
-  members_.remember(remembered);
+  members_.restore(remembered);
   members::Actions told;
   members_.begin(now, told);
   take(now, told, actions);
@@ -94,7 +94,7 @@
 void Turn::heard(Time now, const members::Message& message, CoordinatorActions& actions) {
   if (!ours(message.envelope) || heard_too_often(now, message.envelope.from)) return;
   members::Actions told;
-  members_.heard(now, message, told);
+  members_.receive(now, message, told);
   take(now, told, actions);
 }
 
@@ -160,12 +160,12 @@
       log_change(*change, actions);
       if (change->to == members::Health::dead || change->to == members::Health::left) {
         decide(now, recovery::MemberRemoved{change->member}, actions);
-        if (change->to == members::Health::left) facts_.forget(now, change->member);
+        if (change->to == members::Health::left) facts_.forget_owner(now, change->member);
       }
     }
   }
   // A start anew that nobody saw as a death shows by its incarnation alone.
-  const std::uint64_t sum = members_.incarnations();
+  const std::uint64_t sum = members_.incarnation_sum();
   if (!changed && sum == incarnations_) return;
   incarnations_ = sum;
   members_at_ = std::min(members_at_, now + kMembersKept);
@@ -203,7 +203,7 @@
   }
 }
 
-void Turn::take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions) {
+void Turn::take(Time now, const facts::Facts::Applied& taken, CoordinatorActions& actions) {
   if (taken.conflicting_incarnation > members_.self().incarnation) {
     actions.emplace_back(Log{"namesake", "incarnation=" + number(taken.conflicting_incarnation) +
                                              " reason=\"facts of this controller that it has not written\""});
@@ -212,7 +212,7 @@
   for (const facts::Fact& fact : taken.changed) {
     if (fact.owner == members_.self().id) continue;
     if (fact.key.kind >= facts::Kind::vote) {
-      rule(now, drift::Told{fact}, actions);
+      rule(now, drift::FactReceived{fact}, actions);
       continue;
     }
     if (news_.learnt(now, fact)) told.emplace_back(recovery::FactReceived{fact});
--- a/src/fleet/turn/turn.h
+++ b/src/fleet/turn/turn.h
@@ -189,7 +189,7 @@
   void heard(Time now, const members::Message& message, CoordinatorActions& actions);
   void take(Time now, const members::Actions& told, CoordinatorActions& actions);
   void take(Time now, const recovery::Actions& told, CoordinatorActions& actions);
-  void take(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions);
+  void take(Time now, const facts::Facts::Applied& taken, CoordinatorActions& actions);
   void take(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
   // urgent.cpp
   void heard(Time now, const news::Message& message, CoordinatorActions& actions);
--- a/src/fleet/turn/urgent.cpp
+++ b/src/fleet/turn/urgent.cpp
@@ -14,7 +14,7 @@
 // Held dead is no reason: over a one-way link those who are heard are, since nobody hears them answered.
 bool Turn::belongs(MemberId member) const {
   const auto found = members_.table().find(member);
-  return found != members_.table().end() && found->second.told.health != members::Health::left;
+  return found != members_.table().end() && found->second.update.health != members::Health::left;
 }
 
 void Turn::heard(Time now, const news::Message& message, CoordinatorActions& actions) {
@@ -30,8 +30,8 @@
 // it (`after` is above what they hold), and recovery is told of it alone, until an exchange brings them all.
 void Turn::hand(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions) {
   const facts::OwnerDelta part{fact.owner, fact.incarnation, false, false, fact.version - 1, 0, {fact}};
-  const facts::Facts::Taken taken = facts_.take(now, from, {{part}});
-  const auto has = facts_.of(now, fact.owner, fact.key);
+  const facts::Facts::Applied taken = facts_.apply(now, from, {{part}});
+  const auto has = facts_.find(now, fact.owner, fact.key);
   const bool held = has && std::pair(has->incarnation, has->version) >=
                                std::pair(fact.incarnation, fact.version);  // this one or a later one
   take(now, taken, actions);
@@ -46,7 +46,7 @@
   if (refused_at_ != Time::min() && now < refused_at_ + kRefusedAgain) return;
   refused_at_ = now;
   const auto found = members_.table().find(from);
-  const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
+  const std::string name = found == members_.table().end() ? "?" : found->second.update.name;
   const std::array<std::pair<const char*, bool>, 5> reasons{
       {{"malformed", after.malformed > before.malformed},
        {"stranger", after.stranger > before.stranger},
@@ -64,19 +64,19 @@
 void Turn::wrote(Time now, const facts::Key& key) {
   if (key.kind == facts::Kind::list) pace_.changed(now);
   if (key.kind != facts::Kind::office) return;
-  if (const auto fact = facts_.of(now, members_.self().id, key)) news_.wrote(now, *fact);
+  if (const auto fact = facts_.find(now, members_.self().id, key)) news_.wrote(now, *fact);
 }
 
 void Turn::push_news(Time now, CoordinatorActions& actions) {
   if (!begun_ || now < news_.next()) return;
   std::vector<MemberId> others, dead;
   for (const auto& [id, member] : members_.table()) {
-    if (member.told.health == members::Health::left) continue;
-    (member.told.health == members::Health::dead ? dead : others).push_back(id);
+    if (member.update.health == members::Health::left) continue;
+    (member.update.health == members::Health::dead ? dead : others).push_back(id);
   }
   for (news::Push& push : news_.due(now, others, dead))
     actions.emplace_back(
-        SendPush{members_.table().at(push.to).told.at, push.to, {envelope(), std::move(push.facts)}});
+        SendPush{members_.table().at(push.to).update.at, push.to, {envelope(), std::move(push.facts)}});
 }
 
 }  // namespace reeltack::fleet
--- a/tests/fleet/drift_processes_test.cpp
+++ b/tests/fleet/drift_processes_test.cpp
@@ -1,5 +1,5 @@
-// The rules of several processes: who decides otherwise is found, cuts and losses of power approve nothing
-// twice.
+// Rules across several real processes: controllers that decide by other rules are detected, and partitions
+// and power losses never lead to two approvals.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -19,7 +19,7 @@
          "    fleet.every: 1s\n";
 }
 
-// A fleet under no load: rules are compared whatever the calls.
+// A fleet without load: rules are compared independently of calls.
 class Drift {
  public:
   explicit Drift(std::function<void(std::size_t, standin::ControllerSetup&)> adjust = {})
@@ -38,17 +38,18 @@
     std::ofstream(rig.pack().dir(i) + "/rules.yaml") << text;
     rig.pack().member(i).signal(SIGHUP);
   }
-  // At all that are up, or at those.
-  bool await(Duration most, const std::string& figure, std::int64_t value, std::vector<std::size_t> at = {}) {
+  // Waits until the figure has this value at all controllers that are up, or at those given.
+  bool await(Duration limit, const std::string& figure, std::int64_t value,
+             std::vector<std::size_t> at = {}) {
     if (at.empty())
       for (std::size_t i = 0; i < kAll; ++i) at.push_back(i);
-    return rig.until(most, [&] {
+    return rig.until(limit, [&] {
       for (const std::size_t i : at)
         if (rig.pack().state(i) == standin::Pack::State::up && rig.figure(i, figure) != value) return false;
       return true;
     });
   }
-  // For so long, each time it is asked, at all that are up.
+  // Whether the figure stays at or below the value at all controllers that are up, for this duration.
   bool stays(Duration lasts, const std::string& figure, std::int64_t value) {
     bool out = true;
     for (const Time end = base::now() + lasts; out && base::now() < end;)
@@ -68,11 +69,11 @@
     }
     return out;
   }
-  // How many of the logs hold these words.
-  std::size_t logged(const std::string& words) {
+  // The number of logs that contain this text.
+  std::size_t logged(const std::string& text) {
     std::size_t out = 0;
     for (std::size_t i = 0; i < kAll; ++i)
-      out += rig.pack().member(i).log().find(words) != std::string::npos ? 1 : 0;
+      out += rig.pack().member(i).log().find(text) != std::string::npos ? 1 : 0;
     return out;
   }
   void restart(std::size_t i) {
@@ -93,8 +94,9 @@
   return out;
 }
 
-// n4 has another attempts limit in its file, n7 a misspelt class, n9 a class more; n2 writes out a default.
-TEST(DriftProcesses, WhoDecidesOtherwiseIsFoundAndNamed) {
+// n4 has another attempts limit in its file, n7 a misspelt class, n9 an additional class; n2 spells out a
+// default.
+TEST(DriftProcesses, DeviatingControllersAreDetectedAndLogged) {
   Drift d([](std::size_t i, standin::ControllerSetup& setup) {
     if (i == 4) setup.attempts = 4;
     if (i == 7) setup.classes[0].name = "estado-viage";
@@ -104,14 +106,14 @@
   d.offer(0, version(1, 5));
   EXPECT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
   const Time approved = base::now();
-  // None of the three has started since: what differs waits for that, and is no drift.
+  // None of the three has started since: the differing rules wait for a start, which is no drift.
   EXPECT_TRUE(d.await(10s, "rules_pending", 3)) << d.figures();
   EXPECT_TRUE(d.await(10s, "rules_in_step", 9)) << d.figures();
   std::printf("all know of the three %.2f s after the approval\n",
               std::chrono::duration<double>(base::now() - approved).count());
   EXPECT_TRUE(d.stays(2s, "rules_drifted", 0)) << d.figures();
-  // At its start the approved rules are laid over a file; where they can't be, it decides otherwise and is
-  // named.
+  // At a start the approved rules override those of the file; a controller where they cannot is detected as
+  // deviating and logged.
   for (const std::size_t i : {4, 7, 9}) d.restart(i);
   const Time started = base::now();
   EXPECT_TRUE(d.await(15s, "rules_drifted", 2)) << d.figures();
@@ -121,13 +123,13 @@
   EXPECT_TRUE(d.await(5s, "rules_pending", 0)) << d.figures();
   EXPECT_EQ(d.logged("rules epoch=1 laid_over=yes"), 1U);
   EXPECT_EQ(d.logged("laid_over=no refused=\"class.estado-viaje.deadline: is no rule\""), 1U);
-  EXPECT_EQ(d.logged("drift name=n7 alarm=raised view=diverged"), 3U) << "itself and two watchers";
+  EXPECT_EQ(d.logged("drift name=n7 alarm=raised view=diverged"), 3U) << "itself and two reporters";
   EXPECT_EQ(d.logged("class.estado-viaje.deadline=\"nothing\" wanted=\"9000000000ns\""), 3U);
   EXPECT_EQ(d.logged("drift name=n9 alarm=raised"), 3U);
 }
 
-// The fleet is cut while versions are offered on both sides under one epoch.
-TEST(DriftProcesses, CutInFiveAndSevenOnlyTheSevenApprove) {
+// The fleet is partitioned while versions of one epoch are offered on both sides.
+TEST(DriftProcesses, PartitionedInFiveAndSevenOnlyTheSevenApprove) {
   Drift d;
   d.offer(3, version(1, 5));
   ASSERT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
@@ -145,8 +147,8 @@
   EXPECT_EQ(d.logged("laid_over=yes"), 12U);
 }
 
-// All lose their power; half of the disks come back from a copy that is two epochs old.
-TEST(DriftProcesses, AfterAPowerLossWithOldDisksTheNewestApprovedHolds) {
+// All controllers lose power; half of the disks are restored from a copy that is two epochs old.
+TEST(DriftProcesses, NewestApprovedVersionHoldsAfterPowerLossWithOldDisks) {
   Drift d;
   d.offer(0, version(1, 4));
   ASSERT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
@@ -155,19 +157,19 @@
     d.offer(11, version(epoch, epoch == 2 ? 3 : 5));
     ASSERT_TRUE(d.await(15s, "rules_epoch", epoch)) << d.figures();
   }
-  EXPECT_TRUE(d.await(10s, "rules_in_step", 12)) << "their files say 5" << d.figures();
+  EXPECT_TRUE(d.await(10s, "rules_in_step", 12)) << "their files contain 5" << d.figures();
   d.rig.pack().kill_all_at_once();
   for (std::size_t i = 0; i < 6; ++i) d.rig.pack().restore_store(i, "old");
   for (std::size_t i = 0; i < kAll; ++i) std::filesystem::remove(d.rig.pack().dir(i) + "/rules.yaml");
   d.rig.pack().start_all();
   EXPECT_TRUE(d.await(30s, "rules_epoch", 3)) << d.figures();
-  // Six have started by 4 attempts, which only another start ends.
+  // Six have started with 4 attempts, which only another start changes.
   EXPECT_TRUE(d.await(10s, "rules_pending", 6)) << d.figures();
   for (std::size_t i = 0; i < 6; ++i) d.restart(i);
   EXPECT_TRUE(d.await(30s, "rules_in_step", 12)) << d.figures();
 }
 
-// Two restarted at a time, over links that lose a fifth and take 100 ms each way: no alarm at any time.
+// Two controllers restarted at a time, over links with 20% loss and 100 ms delay each way: never an alarm.
 TEST(DriftProcesses, RestartsOverLossyAndSlowLinksAreNoDrift) {
   Drift d;
   d.offer(0, version(1, 5));
--- a/tests/fleet/drift_turn_test.cpp
+++ b/tests/fleet/drift_turn_test.cpp
@@ -1,4 +1,4 @@
-// Drift within the turn: by which size a version is approved, and what goes to the store and the log.
+// Drift within the coordinator: by which fleet size a version is approved, and what is stored and logged.
 #include <gtest/gtest.h>
 
 #include "fleet/turn/turn.h"
@@ -23,25 +23,25 @@
     turn = std::make_unique<Turn>(settings, self, std::span<const Endpoint>{}, 1);
     CoordinatorActions actions;
     turn->begin(now, std::nullopt, {}, actions);
-    say(drift::Restored{});
+    deliver(drift::RecordsRestored{});
     rules::Tree tree;
     EXPECT_TRUE(tree.put("module.attempts", "5"));
-    say(drift::RulesReadBack{tree});
+    deliver(drift::RulesReadBack{tree});
     run(2s);
   }
-  void say(const drift::Event& event) {
+  void deliver(const drift::Event& event) {
     CoordinatorActions actions;
     turn->on(now, DriftEvent{event}, actions);
-    take(actions);
+    record(actions);
   }
   void run(Duration lasts) {
     for (const Time end = now + lasts; now < end; now += 100ms) {
       CoordinatorActions actions;
       turn->tick(now, actions);
-      take(actions);
+      record(actions);
     }
   }
-  void take(const CoordinatorActions& actions) {
+  void record(const CoordinatorActions& actions) {
     for (const CoordinatorAction& action : actions) {
       const auto* store = std::get_if<Store>(&action);
       if (store != nullptr && store->vote) votes.push_back(*store->vote);
@@ -58,23 +58,23 @@
   DriftTurnAlone() : DriftTurn(1) {}
 };
 
-// One that has met nobody yet, of twelve: it agrees with itself on a size of one, and approves nothing.
-TEST_F(DriftTurn, OneOfTwelveApprovesNothingHoweverSmallTheFleetLooks) {
-  say(drift::Offered{version(1)});
+// One of twelve controllers that has met no other yet: its agreed size is one, yet it approves nothing.
+TEST_F(DriftTurn, OneOfTwelveApprovesNothingThoughTheFleetLooksSmall) {
+  deliver(drift::VersionOffered{version(1)});
   ASSERT_EQ(votes.size(), 1U);
-  say(drift::VotePersisted{votes[0]});
+  deliver(drift::VotePersisted{votes[0]});
   run(60s);
   EXPECT_EQ(turn->recovery().agreed(), 1U);
   EXPECT_FALSE(turn->drift().approved());
   EXPECT_EQ(logged.find("approved"), std::string::npos) << logged;
 }
 
-TEST_F(DriftTurnAlone, AFleetOfOneApprovesOnceItsVoteLasts) {
-  say(drift::Offered{version(1)});
+TEST_F(DriftTurnAlone, FleetOfOneApprovesOnceItsVoteIsDurable) {
+  deliver(drift::VersionOffered{version(1)});
   run(5s);
-  EXPECT_FALSE(turn->drift().approved()) << "the vote is not kept yet";
+  EXPECT_FALSE(turn->drift().approved()) << "the vote is not persisted yet";
   ASSERT_EQ(votes.size(), 1U);
-  say(drift::VotePersisted{votes[0]});
+  deliver(drift::VotePersisted{votes[0]});
   EXPECT_EQ(turn->drift().approved(), version(1));
   EXPECT_NE(logged.find("rules epoch=1"), std::string::npos) << logged;
 }
--- a/tests/fleet/drift_words_test.cpp
+++ b/tests/fleet/drift_words_test.cpp
@@ -1,4 +1,4 @@
-// Versions and what is said of rules, as text: one spelling, and everything else refused.
+// The text form of versions and of the facts about rules: one spelling each, and everything else rejected.
 #include <gtest/gtest.h>
 
 #include "fleet/drift/words.h"
@@ -13,29 +13,29 @@
           {{"n3", {{"class.voice.aim", "1ns"}, {"module.attempts", "4"}}}}};
 }
 
-TEST(DriftWords, AVersionComesBackAsItWentAndIsNamedByItsText) {
+TEST(DriftWords, VersionRoundTripsAndIsIdentifiedByItsText) {
   const std::string text = write(version());
   EXPECT_EQ(read_version(text), version());
-  EXPECT_EQ(name_of(*read_version(text)), name_of(version()));
+  EXPECT_EQ(id_of(*read_version(text)), id_of(version()));
   Version other = version();
   other.rules["module.attempts"] = "4";
-  EXPECT_NE(name_of(other).digest, name_of(version()).digest);
+  EXPECT_NE(id_of(other).digest, id_of(version()).digest);
 }
 
-TEST(DriftWords, AMembersOwnValueGoesBeforeItsZones) {
+TEST(DriftWords, NameTakesPrecedenceOverZone) {
   EXPECT_EQ(required_rules(version(), "n1", "oeste").at("class.voice.aim"), "2000000000ns");
   EXPECT_EQ(required_rules(version(), "n1", "este").at("class.voice.aim"), "3000000000ns");
   EXPECT_EQ(required_rules(version(), "n3", "este").at("class.voice.aim"), "1ns");
   EXPECT_EQ(required_rules(version(), "n3", "este").at("module.attempts"), "4");
 }
 
-TEST(DriftWords, TextCutAtAnyByteOrWithALineOutOfPlaceIsNoVersion) {
+TEST(DriftWords, TruncatedOrMisorderedTextIsRejected) {
   const std::string text = write(version());
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     const auto read = read_version(text.substr(0, cut));
     if (read)
-      EXPECT_EQ(text[cut - 1], '\n') << cut;  // a whole number of lines is another version, by its digest
-    if (read) EXPECT_NE(name_of(*read), name_of(version()));
+      EXPECT_EQ(text[cut - 1], '\n') << cut;  // complete lines alone are another version, by the digest
+    if (read) EXPECT_NE(id_of(*read), id_of(version()));
   }
   for (const char* wrong :
        {"1 0\n", "2 7\n", "1 07\n", "1 7", "1 7\nb 1\na 1\n", "1 7\na 1\na 2\n", "1 7\na\n",
@@ -45,33 +45,33 @@
   EXPECT_FALSE(read_version("1 7\n" + std::string(kMaxVersionBytes, 'a') + "\n"));
 }
 
-TEST(DriftWords, FactsComeBackAsTheyWentAndOthersAreNothing) {
+TEST(DriftWords, FactsRoundTripAndOthersAreRejected) {
   const Vote vote{{7, 1}, {6, 2}};
   EXPECT_EQ(read_vote(write(vote)), vote);
   for (const char* wrong :
        {"", "1 7 1 6", "1 7 1 6 2 3", "2 7 1 6 2", "1 7 1 6 x", "1 7 1 6 2 ", "1  7 1 6 2"})
     EXPECT_FALSE(read_vote(wrong)) << wrong;
-  const Word word{{7, 1}, 2, 3, true, {{"module.attempts", "4", {}}, {"class.voice.aim", {}, {}}}};
-  EXPECT_EQ(read_word(write(word)), word);
+  const RulesReport report{{7, 1}, 2, 3, true, {{"module.attempts", "4", {}}, {"class.voice.aim", {}, {}}}};
+  EXPECT_EQ(read_rules_report(write(report)), report);
   for (const char* wrong :
        {"1 7 1 2 3 2", "1 7 1 2 3 1\n", "1 7 1 2 3 1\nA 4", "1 7 1 2 3 1\na 4\n\nb 5", "1 7 1 2 3"})
-    EXPECT_FALSE(read_word(wrong)) << wrong;
+    EXPECT_FALSE(read_rules_report(wrong)) << wrong;
   std::string many = "1 7 1 2 3 0";
-  for (std::size_t i = 0; i <= kMostNamed; ++i) many += "\na" + std::to_string(i) + " 1";
-  EXPECT_FALSE(read_word(many));
+  for (std::size_t i = 0; i <= kMaxNamedKeys; ++i) many += "\na" + std::to_string(i) + " 1";
+  EXPECT_FALSE(read_rules_report(many));
 }
 
-TEST(DriftWords, ALargeVersionTravelsInPartsWithinAFact) {
+TEST(DriftWords, LargeVersionIsSplitIntoPartsThatFitAFact) {
   Version large = version();
   for (int i = 0; i < 400; ++i) large.rules["class.c" + std::to_string(i) + ".deadline"] = "4000000000ns";
   const auto parts = parts_of(large);
   EXPECT_GT(parts.size(), 3U);
   std::string text;
-  for (const Part& part : parts) {
+  for (const VersionPart& part : parts) {
     EXPECT_LE(write(part).size(), 4096U);
     const auto read = read_part(write(part));
     ASSERT_TRUE(read);
-    EXPECT_EQ(read->of, name_of(large));
+    EXPECT_EQ(read->version, id_of(large));
     text += read->text;
   }
   EXPECT_EQ(read_version(text), large);
--- a/tests/fleet/drift_world.h
+++ b/tests/fleet/drift_world.h
@@ -1,6 +1,5 @@
-// Drifts of several controllers with nothing between them but what a test lets pass.
-//
-// Owns: each one's rules, disk and facts, and who hears whom. Must never: judge.
+// Several controllers' Drift objects in virtual time, with their rules, disks and facts. Facts pass between
+// controllers of the same group.
 #pragma once
 
 #include <map>
@@ -22,131 +21,131 @@
 
 class World {
  public:
-  struct One {
-    std::unique_ptr<Drift> drift;  // none: it is down
+  struct Node {
+    std::unique_ptr<Drift> drift;  // null: it is down
     std::string name, zone;
     rules::Rules file{{"module.attempts", "5"}, {"module.release_guard", "300000000ns"}};
     std::map<std::string, std::string> disk;
     bool store = true;
     std::map<facts::Key, std::string> facts;
-    std::map<std::size_t, std::map<facts::Key, std::string>> heard;  // of each other
+    std::map<std::size_t, std::map<facts::Key, std::string>> received;  // from each other
     Incarnation incarnation = 1;
     int group = 0;
-    std::vector<std::string> notes;
+    std::vector<std::string> log;
   };
 
-  explicit World(std::size_t size) : all(size) {
+  explicit World(std::size_t size) : nodes(size) {
     for (std::size_t i = 0; i < size; ++i) {
-      all[i].name = "n" + std::to_string(i);
-      all[i].zone = i % 2 == 0 ? "este" : "oeste";
+      nodes[i].name = "n" + std::to_string(i);
+      nodes[i].zone = i % 2 == 0 ? "este" : "oeste";
       start(i);
     }
   }
   static MemberId id(std::size_t i) { return MemberId{i + 1}; }
 
-  // What the store holds as approved is laid over the file, as at a start of the program.
+  // As at a start of the program, the approved rules in the store override those of the file.
   void start(std::size_t i) {
-    One& one = all[i];
-    one.drift = std::make_unique<Drift>(DriftSettings{.name = one.name, .zone = one.zone}, id(i));
-    one.facts.clear();
-    one.heard.clear();
-    Restored restored;
-    const auto kept = [&one](const char* key) {
-      const auto found = one.disk.find(key);
-      return found == one.disk.end() ? std::nullopt : std::optional(found->second);
+    Node& node = nodes[i];
+    node.drift = std::make_unique<Drift>(DriftSettings{.name = node.name, .zone = node.zone}, id(i));
+    node.facts.clear();
+    node.received.clear();
+    RecordsRestored restored;
+    const auto record = [&node](const char* key) {
+      const auto found = node.disk.find(key);
+      return found == node.disk.end() ? std::nullopt : std::optional(found->second);
     };
-    restored = {kept(kVoteRecord), kept(kHeldRecord), kept(kApprovedRecord)};
-    tell(i, restored);
-    rules::Rules running = one.file;
-    if (const auto& approved = one.drift->approved())
-      for (const auto& [key, value] : required_rules(*approved, one.name, one.zone))
+    restored = {record(kVoteRecord), record(kHeldRecord), record(kApprovedRecord)};
+    deliver(i, restored);
+    rules::Rules running = node.file;
+    if (const auto& approved = node.drift->approved())
+      for (const auto& [key, value] : required_rules(*approved, node.name, node.zone))
         running.insert_or_assign(key, value);
-    tell(i, RulesReadBack{tree_of(running)});
+    deliver(i, RulesReadBack{tree_of(running)});
   }
   void stop(std::size_t i) {
-    all[i].drift.reset();
-    ++all[i].incarnation;
+    nodes[i].drift.reset();
+    ++nodes[i].incarnation;
   }
-  void offer(std::size_t i, const Version& version) { tell(i, Offered{version}); }
-  void decide_by(std::size_t i, const rules::Rules& rules) { tell(i, RulesReadBack{tree_of(rules)}); }
+  void offer(std::size_t i, const Version& version) { deliver(i, VersionOffered{version}); }
+  void set_rules(std::size_t i, const rules::Rules& rules) { deliver(i, RulesReadBack{tree_of(rules)}); }
 
-  void tell(std::size_t i, const Event& event) {
-    One& one = all[i];
-    if (!one.drift) return;
+  void deliver(std::size_t i, const Event& event) {
+    Node& node = nodes[i];
+    if (!node.drift) return;
     Actions actions;
-    one.drift->on(now, event, actions);
-    carry_out(i, actions);
+    node.drift->on(now, event, actions);
+    execute(i, actions);
   }
-  // So long, in steps; what may pass passes in each.
+  // Runs for this duration in steps; in each, facts pass wherever they can.
   void run(Duration lasts, Duration step = 200ms) {
     for (const Time end = now + lasts; now < end; now += step) {
-      for (std::size_t i = 0; i < all.size(); ++i) meet(i);
-      for (std::size_t i = 0; i < all.size(); ++i) {
-        if (!all[i].drift) continue;
+      for (std::size_t i = 0; i < nodes.size(); ++i) exchange(i);
+      for (std::size_t i = 0; i < nodes.size(); ++i) {
+        if (!nodes[i].drift) continue;
         Actions actions;
-        all[i].drift->tick(now, actions);
-        carry_out(i, actions);
-        all[i].drift->check();
+        nodes[i].drift->tick(now, actions);
+        execute(i, actions);
+        nodes[i].drift->check();
       }
     }
   }
-  [[nodiscard]] bool hears(std::size_t i, std::size_t j) const {
-    return all[j].drift && all[i].group == all[j].group;
+  [[nodiscard]] bool reaches(std::size_t i, std::size_t j) const {
+    return nodes[j].drift && nodes[i].group == nodes[j].group;
   }
   [[nodiscard]] std::uint64_t alarms() const {
     std::uint64_t out = 0;
-    for (const One& one : all) out += one.drift ? one.drift->counts().alarms : 0;
+    for (const Node& node : nodes) out += node.drift ? node.drift->counts().alarms : 0;
     return out;
   }
-  [[nodiscard]] Name approved(std::size_t i) const {
-    return all[i].drift && all[i].drift->approved() ? name_of(*all[i].drift->approved()) : Name{};
+  [[nodiscard]] VersionId approved(std::size_t i) const {
+    return nodes[i].drift && nodes[i].drift->approved() ? id_of(*nodes[i].drift->approved()) : VersionId{};
   }
-  [[nodiscard]] bool noted(std::size_t i, const std::string& words) const {
-    for (const std::string& note : all[i].notes)
-      if (note.find(words) != std::string::npos) return true;
+  [[nodiscard]] bool logged(std::size_t i, const std::string& text) const {
+    for (const std::string& line : nodes[i].log)
+      if (line.find(text) != std::string::npos) return true;
     return false;
   }
 
-  std::vector<One> all;
+  std::vector<Node> nodes;
   Time now{1000s};
 
  private:
-  void carry_out(std::size_t i, const Actions& actions) {
-    One& one = all[i];
-    std::vector<Vote> kept;
+  void execute(std::size_t i, const Actions& actions) {
+    Node& node = nodes[i];
+    std::vector<Vote> persisted;
     for (const Action& action : actions) {
       if (const auto* publish = std::get_if<Publish>(&action)) {
         if (publish->value)
-          one.facts[publish->key] = *publish->value;
+          node.facts[publish->key] = *publish->value;
         else
-          one.facts.erase(publish->key);
-      } else if (const auto* keep = std::get_if<Keep>(&action)) {
-        if (!one.store) continue;
-        one.disk[keep->key] = keep->value;
-        if (keep->vote) kept.push_back(*keep->vote);
-      } else if (const auto* note = std::get_if<Note>(&action)) {
-        one.notes.push_back(note->text);
+          node.facts.erase(publish->key);
+      } else if (const auto* persist = std::get_if<Persist>(&action)) {
+        if (!node.store) continue;
+        node.disk[persist->key] = persist->value;
+        if (persist->vote) persisted.push_back(*persist->vote);
+      } else if (const auto* line = std::get_if<LogLine>(&action)) {
+        node.log.push_back(line->text);
       }
     }
-    for (const Vote& vote : kept) tell(i, VotePersisted{vote});
+    for (const Vote& vote : persisted) deliver(i, VotePersisted{vote});
   }
-  void meet(std::size_t i) {
-    if (!all[i].drift) return;
-    Members members;
-    members.agreed = all.size();
-    for (std::size_t j = 0; j < all.size(); ++j)
+  void exchange(std::size_t i) {
+    if (!nodes[i].drift) return;
+    MembersChanged members;
+    members.agreed = nodes.size();
+    for (std::size_t j = 0; j < nodes.size(); ++j)
       if (j != i)
-        members.members.push_back({id(j), all[j].incarnation, all[j].name, all[j].zone, hears(i, j)});
-    tell(i, members);
-    for (std::size_t j = 0; j < all.size(); ++j) {
-      if (j == i || !hears(i, j)) continue;
-      auto& heard = all[i].heard[j];
-      const auto facts = all[j].facts;
+        members.members.push_back({id(j), nodes[j].incarnation, nodes[j].name, nodes[j].zone, reaches(i, j)});
+    deliver(i, members);
+    for (std::size_t j = 0; j < nodes.size(); ++j) {
+      if (j == i || !reaches(i, j)) continue;
+      auto& received = nodes[i].received[j];
+      const auto facts = nodes[j].facts;
       for (const auto& [key, value] : facts) {
-        const auto before = heard.find(key);
-        if (before != heard.end() && before->second == value) continue;
-        heard[key] = value;
-        tell(i, Told{{id(j), all[j].incarnation, 1, key, value, false, 0s}});
+        const auto before = received.find(key);
+        if (before != received.end() && before->second == value) continue;
+        received[key] = value;
+        deliver(i, FactReceived{{id(j), nodes[j].incarnation, 1, key, value, false, 0s}});
       }
     }
   }
--- a/tests/fleet/facts_world.h
+++ b/tests/fleet/facts_world.h
@@ -1,4 +1,4 @@
-// What the tests of the facts share: draws by seed, exchanges without a network, what a holder shows.
+// Shared by the tests of facts: seeded random numbers, exchanges without a network, and what a holder shows.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
 inline MemberId id(std::uint64_t number) { return MemberId{number * 0x9e3779b97f4a7c15U}; }
 inline Key office(std::uint64_t number) { return {Kind::office, number}; }
 
-class Draw {
+class Random {
  public:
-  explicit Draw(std::uint64_t seed) : state_(seed) {}
+  explicit Random(std::uint64_t seed) : state_(seed) {}
   std::uint64_t below(std::uint64_t bound) {
     state_ += 0x9e3779b97f4a7c15U;
     std::uint64_t z = state_;
@@ -34,7 +34,7 @@
   std::uint64_t state_;
 };
 
-// owner, kind, subject -> value: what is shown, kinds that are not known included.
+// (owner, kind, subject) -> value: what a holder shows, including an unknown kind.
 using Shown = std::map<std::tuple<MemberId, Kind, std::uint64_t>, std::string>;
 inline constexpr Kind kUnknown{77};
 inline Shown shown(const Facts& facts, Time now) {
@@ -51,21 +51,21 @@
   std::size_t summary = 0, digest = 0, delta = 0;
   [[nodiscard]] std::size_t all() const { return summary + digest + delta; }
 };
-// A whole exchange that A begins, nothing lost.
+// A complete exchange begun by A, without loss.
 inline Bytes exchange(Time now, Facts& a, MemberId a_id, Facts& b, MemberId b_id) {
   Bytes bytes;
   const Summary first = a.summary();
-  const Digest lines = b.digest(first);
+  const Digest entries = b.digest(first);
   bytes.summary = encoded(first);
-  bytes.digest = encoded(lines);
-  if (lines.buckets == 0) return bytes;
-  const Delta to_b = a.delta(now, lines);
-  const Digest wanted = a.wanted(lines);
-  const Delta to_a = b.delta(now, wanted);
-  bytes.digest += encoded(wanted);
+  bytes.digest = encoded(entries);
+  if (entries.buckets == 0) return bytes;
+  const Delta to_b = a.delta(now, entries);
+  const Digest requested = a.request(entries);
+  const Delta to_a = b.delta(now, requested);
+  bytes.digest += encoded(requested);
   bytes.delta = encoded(to_b) + encoded(to_a);
-  (void)b.take(now, a_id, to_b);
-  (void)a.take(now, b_id, to_a);
+  (void)b.apply(now, a_id, to_b);
+  (void)a.apply(now, b_id, to_a);
   return bytes;
 }
 
--- a/tests/fleet/hostile_peer_test.cpp
+++ b/tests/fleet/hostile_peer_test.cpp
@@ -26,7 +26,7 @@
   out.step = step;
   out.delta.owners[0].owner = member(owner);
   out.delta.owners[0].incarnation = 1;
-  out.delta.owners[0].whole = true;
+  out.delta.owners[0].full = true;
   for (auto& fact : out.delta.owners[0].facts) {
     fact.owner = member(owner);
     fact.incarnation = 1;
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -64,7 +64,7 @@
   const auto keeping = disk.start();
   disk.gate.close();
   const drift::Version version = version_of(5);
-  const drift::Vote vote{name_of(version), {}};
+  const drift::Vote vote{id_of(version), {}};
   keeping->put(Store{drift::kHeldRecord, write(version), std::nullopt});
   keeping->put(Store{drift::kVoteRecord, write(vote), vote});
   ASSERT_TRUE(disk.gate.is_met());
@@ -95,7 +95,7 @@
   }
   const auto keeping = disk.start();
   const drift::Version version = version_of(5);
-  const drift::Vote vote{name_of(version), {}};
+  const drift::Vote vote{id_of(version), {}};
   keeping->put(Store{drift::kHeldRecord, write(version), std::nullopt});
   keeping->put(Store{drift::kVoteRecord, write(vote), vote});
   for (int looks = 0; looks < 3000 && keeping->counts().waiting > 1; ++looks) ::usleep(10000);
@@ -106,7 +106,7 @@
 TEST(KeepingHanging, WhatAReadOnlyStoreHoldsIsUsedAndWritesResumeByThemselves) {
   HangingDisk disk;
   const drift::Version before = version_of(5), next = version_of(6);
-  const drift::Vote vote_before{name_of(before), {}}, vote_next{name_of(next), {}};
+  const drift::Vote vote_before{id_of(before), {}}, vote_next{id_of(next), {}};
   Incarnation incarnation = 0;
   {
     const auto keeping = disk.start();
--- a/tests/fleet/keeping_test.cpp
+++ b/tests/fleet/keeping_test.cpp
@@ -17,7 +17,7 @@
   out.rules["core.attempts"] = rule;
   return out;
 }
-drift::Vote vote_for(const drift::Version& version) { return {name_of(version), {}}; }
+drift::Vote vote_for(const drift::Version& version) { return {id_of(version), {}}; }
 
 void put_vote(Keeping& keeping, const drift::Version& version) {
   keeping.put(Store{drift::kHeldRecord, write(version), std::nullopt});
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -33,18 +33,18 @@
     const members::Message message = random.message();
     const std::string bytes = encode(message);
     EXPECT_EQ(bytes.size(), wire_size(message));
-    same(message, decode_message(bytes));
+    expect_equal(message, decode_message(bytes));
     EXPECT_FALSE(is_news(bytes));
     const news::Message news = random.news();
     const std::string told = encode(news);
     EXPECT_EQ(told.size(), wire_size(news));
     EXPECT_TRUE(is_news(told));
-    same(news, decode_news(told));
+    expect_equal(news, decode_news(told));
     const Exchange exchange = random.exchange();
     const std::string frame = encode(exchange);
     EXPECT_EQ(frame.size(), wire_size(exchange));
     ASSERT_EQ(frame_length(frame), frame.size() - kLength);
-    same(exchange, decode_exchange(frame.substr(kLength)));
+    expect_equal(exchange, decode_exchange(frame.substr(kLength)));
     ASSERT_FALSE(HasFailure()) << "message " << i << " of seed " << kSeed;
   }
 }
@@ -161,9 +161,9 @@
   Exchange e;
   EXPECT_EQ(error(e), "buckets: 0 of them at step 0, 32 expected");
   e.step = 3;
-  e.digest.known.push_back({MemberId{1}, 1, 1});
+  e.digest.entries.push_back({MemberId{1}, 1, 1});
   EXPECT_EQ(error(e), "digest: 1 of them, 0 at most");
-  e.digest.known.clear();
+  e.digest.entries.clear();
   e.delta.owners.emplace_back().owner = MemberId{1};
   facts::Fact& fact = e.delta.owners[0].facts.emplace_back();
   fact.owner = MemberId{1};
--- a/tests/fleet/members_fleet.h
+++ b/tests/fleet/members_fleet.h
@@ -1,6 +1,5 @@
-// A fleet of members' states on the virtual network, with the store that answers at once.
-//
-// Owns: the states, what they told of each other, and the count of messages and bytes. Must never: decide.
+// A fleet of Members objects on a virtual network, with a store that answers at once. Counts health changes,
+// messages and bytes.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +14,7 @@
 
 namespace reeltack::test {
 
-// Under sanitizers fewer seeds and a shorter virtual time.
+// Sanitizer builds use fewer seeds and a shorter virtual time.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 inline constexpr int kScale = 8;
 #else
@@ -45,17 +44,22 @@
   std::uint64_t seed;
   std::vector<std::unique_ptr<Members>> nodes;
   std::vector<Incarnation> stores;
-  bool checked = true;  // check() after each step
-  // What was told of a node that was up: own probes unanswered, suspicions, deaths.
-  std::uint64_t own_suspicions = 0, false_suspicions = 0, false_deaths = 0;
+  bool check_each_step = true;  // check() after each step
+  // Health changes reported about nodes that were up: by own unanswered probes, all suspicions, all deaths.
+  std::uint64_t unanswered_probes = 0, false_suspicions = 0, false_deaths = 0;
   std::vector<std::uint64_t> deaths_by;
-  std::uint64_t bytes = 0, largest = 0, namesakes = 0;
-  // When each node first held the watched one dead.
-  std::size_t watched = ~std::size_t{0};
-  std::vector<Time> seen_dead;
+  std::uint64_t bytes = 0, largest = 0, duplicate_names = 0;
+  // When each node first held the observed one dead.
+  std::size_t observed = ~std::size_t{0};
+  std::vector<Time> held_dead_at;
 
-  Fleet(std::size_t size, std::uint64_t with, const MembersSettings& wanted = {})
-      : net(size, with), settings(wanted), seed(with), nodes(size), stores(size), deaths_by(size) {
+  Fleet(std::size_t size, std::uint64_t with_seed, const MembersSettings& with_settings = {})
+      : net(size, with_seed),
+        settings(with_settings),
+        seed(with_seed),
+        nodes(size),
+        stores(size),
+        deaths_by(size) {
     for (std::size_t n = 0; n < size; ++n) net.set_down(n, true);
   }
 
@@ -64,21 +68,21 @@
     self.incarnation = stores[node] + 1;
     const std::vector<Endpoint> seeds{self_of(0).at, self_of(nodes.size() / 2).at};
     net.set_down(node, false);
-    std::vector<Update> kept;  // the table of the process before, unless its store is lost
+    std::vector<Update> stored;  // the table of the previous process, unless its store is lost
     if (nodes[node] && stores[node] != 0) {
-      for (const auto& [id, m] : nodes[node]->table()) kept.push_back(m.told);
+      for (const auto& [id, m] : nodes[node]->table()) stored.push_back(m.update);
     }
     nodes[node] = std::make_unique<Members>(settings, self, seeds, seed * 7919 + node);
-    nodes[node]->remember(kept);
+    nodes[node]->restore(stored);
     Actions actions;
     nodes[node]->begin(net.now(), actions);
-    done(node, actions);
+    execute(node, actions);
   }
   void start_all() {
     for (std::size_t n = 0; n < nodes.size(); ++n) start(n);
   }
   void stop(std::size_t node) { net.set_down(node, true); }
-  void done(std::size_t node, Actions& actions) {
+  void execute(std::size_t node, Actions& actions) {
     for (std::size_t i = 0; i < actions.size(); ++i) {
       if (auto* send = std::get_if<Send>(&actions[i])) {
         const std::size_t size = encoded_size(send->message);
@@ -87,29 +91,29 @@
         const std::size_t to = send->to.address - 0x7f000001U;
         if (to < nodes.size()) net.send(node, to, std::move(send->message));
       } else if (const auto* changed = std::get_if<HealthChanged>(&actions[i])) {
-        told(node, *changed);
-      } else if (const auto* raised = std::get_if<PersistIncarnation>(&actions[i])) {
-        stores[node] = raised->to;
+        count_change(node, *changed);
+      } else if (const auto* request = std::get_if<PersistIncarnation>(&actions[i])) {
+        stores[node] = request->to;
         Actions more;
         nodes[node]->incarnation_persisted(net.now(), stores[node], more);
         for (members::Action& a : more) actions.push_back(std::move(a));
       } else {
-        ++namesakes;
+        ++duplicate_names;
       }
     }
-    if (checked) nodes[node]->check();
+    if (check_each_step) nodes[node]->check();
     net.alarm(node, nodes[node]->next());
   }
-  void told(std::size_t by, const HealthChanged& changed) {
+  void count_change(std::size_t by, const HealthChanged& changed) {
     const std::size_t of = static_cast<std::size_t>(changed.member) - 1000;
-    if (of == watched && changed.to == Health::dead) {
-      seen_dead.resize(nodes.size(), Time::max());
-      seen_dead[by] = std::min(seen_dead[by], net.now());
+    if (of == observed && changed.to == Health::dead) {
+      held_dead_at.resize(nodes.size(), Time::max());
+      held_dead_at[by] = std::min(held_dead_at[by], net.now());
     }
     if (net.is_down(of)) return;
     if (changed.to == Health::suspect) {
       ++false_suspicions;
-      if (std::string(changed.reason) == "no answer") ++own_suspicions;
+      if (std::string(changed.reason) == "no answer") ++unanswered_probes;
     }
     if (changed.to == Health::dead) {
       ++false_deaths;
@@ -122,16 +126,16 @@
         net.now() + time,
         [&](std::size_t node, std::size_t, const Message& message) {
           actions.clear();
-          nodes[node]->heard(net.now(), message, actions);
-          done(node, actions);
+          nodes[node]->receive(net.now(), message, actions);
+          execute(node, actions);
         },
         [&](std::size_t node) {
           actions.clear();
           nodes[node]->tick(net.now(), actions);
-          done(node, actions);
+          execute(node, actions);
         });
   }
-  // All nodes that are up hold exactly those alive.
+  // All nodes that are up hold exactly those alive, and suspect none.
   [[nodiscard]] bool agreed() const {
     std::vector<MemberId> up;
     for (std::size_t n = 0; n < nodes.size(); ++n) {
@@ -141,18 +145,18 @@
       if (net.is_down(n) || !nodes[n]) continue;
       if (nodes[n]->live() != up) return false;
       for (const auto& [id, m] : nodes[n]->table()) {
-        if (m.told.health == Health::suspect) return false;
+        if (m.update.health == Health::suspect) return false;
       }
     }
     return true;
   }
-  // Virtual time until all agree; `most` where they do not.
-  Duration until_agreed(Duration most, Duration step = milliseconds(100)) {
+  // Virtual time until all agree, at most `limit`.
+  Duration until_agreed(Duration limit, Duration step = milliseconds(100)) {
     const Time begin = net.now();
-    while (!agreed() && net.now() - begin < most) run(step);
+    while (!agreed() && net.now() - begin < limit) run(step);
     return net.now() - begin;
   }
-  void forget_counts() { own_suspicions = false_suspicions = false_deaths = bytes = 0; }
+  void reset_counts() { unanswered_probes = false_suspicions = false_deaths = bytes = 0; }
 };
 
 inline double in_seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
--- a/tests/fleet/members_one.h
+++ b/tests/fleet/members_one.h
@@ -1,6 +1,4 @@
-// One state of members alone, told by hand what comes, and what it answered.
-//
-// Owns: the state under test and the time told to it. Must never: decide.
+// A single Members object with a controlled clock, and the actions that it returned.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +12,16 @@
   return {self.id, incarnation, health, self.at, self.name, self.zone, by == 0 ? MemberId{} : self_of(by).id};
 }
 
-struct One {
+struct SingleMember {
   MembersSettings settings;
   Members members;
   Time now{};
   Actions actions;
 
-  explicit One(const MembersSettings& with = {}, Incarnation incarnation = 1)
+  explicit SingleMember(const MembersSettings& with = {}, Incarnation incarnation = 1)
       : settings(with), members(with, self(incarnation), {}, 1) {
     members.begin(now, actions);
-    if (const auto* raised = told<PersistIncarnation>()) keep(raised->to);
+    if (const auto* request = action<PersistIncarnation>()) persist(request->to);
     actions.clear();
   }
   static Self self(Incarnation incarnation) {
@@ -41,24 +39,24 @@
     m.sequence = 77;
     return m;
   }
-  void hear(const Message& m) {
+  void receive(const Message& m) {
     actions.clear();
-    members.heard(now, m, actions);
+    members.receive(now, m, actions);
     members.check();
   }
-  // A ping from `from`, of which this is the first update, with news.
-  void hear(std::size_t from, std::vector<Update> news, Incarnation incarnation = 1) {
+  // A ping from `from`, whose own update comes first, followed by `updates`.
+  void receive(std::size_t from, std::vector<Update> updates, Incarnation incarnation = 1) {
     Message m = message(Kind::ping, from, incarnation);
-    m.updates = std::move(news);
+    m.updates = std::move(updates);
     m.updates.insert(m.updates.begin(), update_of(from, incarnation, Health::alive));
-    hear(m);
+    receive(m);
   }
-  void keep(Incarnation to) {
+  void persist(Incarnation to) {
     actions.clear();
     members.incarnation_persisted(now, to, actions);
     members.check();
   }
-  // Each turn at its time; what all of them told is in `actions`.
+  // Runs each tick when it is due; collects the actions of all of them.
   void run(Duration time) {
     actions.clear();
     const Time until = now + time;
@@ -70,12 +68,12 @@
     now = until;
   }
   template <class Kind>
-  [[nodiscard]] const Kind* told() const {
+  [[nodiscard]] const Kind* action() const {
     const auto found = std::find_if(actions.begin(), actions.end(),
                                     [](const auto& a) { return std::holds_alternative<Kind>(a); });
     return found == actions.end() ? nullptr : &std::get<Kind>(*found);
   }
-  // The first message of a kind to a member.
+  // The first message of a kind to a member; null: none.
   [[nodiscard]] const Message* sent(Kind kind, std::size_t to) const {
     for (const auto& a : actions) {
       const auto* send = std::get_if<Send>(&a);
@@ -83,7 +81,7 @@
     }
     return nullptr;
   }
-  [[nodiscard]] const Update* sent_of(std::size_t of) const {
+  [[nodiscard]] const Update* sent_update(std::size_t of) const {
     for (const auto& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) {
         for (const Update& u : send->message.updates) {
@@ -93,10 +91,10 @@
     }
     return nullptr;
   }
-  [[nodiscard]] const Update& held(std::size_t node) const {
-    return members.table().at(self_of(node).id).told;
+  [[nodiscard]] const Update& entry(std::size_t node) const {
+    return members.table().at(self_of(node).id).update;
   }
-  [[nodiscard]] Health health(std::size_t node) const { return held(node).health; }
+  [[nodiscard]] Health health(std::size_t node) const { return entry(node).health; }
 };
 
 }  // namespace reeltack::test
--- a/tests/fleet/members_time_test.cpp
+++ b/tests/fleet/members_time_test.cpp
@@ -1,195 +1,197 @@
-// Probes, suspicions and the own process's health, case by case.
+// Probes, suspicions and the local health multiplier, case by case.
 #include "members_one.h"
 
 namespace reeltack::test {
 namespace {
 
-// Answers every ping of `one` in the name of its target, but of those who are silent.
-void answer(One& one, Duration time, const std::set<std::size_t>& silent = {}) {
-  const Time until = one.now + time;
+// Runs `node`, answering each of its pings on behalf of the target, except for the silent members.
+void answer(SingleMember& node, Duration time, const std::set<std::size_t>& silent = {}) {
+  const Time until = node.now + time;
   Actions all;
-  while (one.members.next() <= until) {
-    one.now = std::max(one.now, one.members.next());
-    one.actions.clear();
-    one.members.tick(one.now, one.actions);
-    const Actions told = one.actions;
-    for (const auto& a : told) {
+  while (node.members.next() <= until) {
+    node.now = std::max(node.now, node.members.next());
+    node.actions.clear();
+    node.members.tick(node.now, node.actions);
+    const Actions sent = node.actions;
+    for (const auto& a : sent) {
       const auto* send = std::get_if<Send>(&a);
       if (send == nullptr || send->message.kind != Kind::ping) continue;
       const std::size_t to = static_cast<std::size_t>(send->member) - 1000;
       if (silent.contains(to)) continue;
-      Message ack = One::message(Kind::ack, to);
+      Message ack = SingleMember::message(Kind::ack, to);
       ack.sequence = send->message.sequence;
       ack.target = send->member;
-      one.hear(ack);
+      node.receive(ack);
     }
-    all.insert(all.end(), told.begin(), told.end());
+    all.insert(all.end(), sent.begin(), sent.end());
   }
-  one.now = until;
-  one.actions = all;
+  node.now = until;
+  node.actions = all;
 }
 
-TEST(Probes, NoAnswerIsAskedForThroughOthersThenSuspected) {
-  One one;
-  one.hear(1,
-           {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive), update_of(4, 1, Health::alive)});
-  answer(one, seconds(8), {2});
-  EXPECT_EQ(one.health(2), Health::suspect);
+TEST(MembersProbes, UnansweredMemberIsProbedIndirectlyThenSuspected) {
+  SingleMember node;
+  node.receive(
+      1, {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive), update_of(4, 1, Health::alive)});
+  answer(node, seconds(8), {2});
+  EXPECT_EQ(node.health(2), Health::suspect);
   for (const std::size_t helper : {1U, 3U, 4U}) {
-    const Message* request = one.sent(Kind::ping_request, helper);
+    const Message* request = node.sent(Kind::ping_request, helper);
     ASSERT_NE(request, nullptr);
     EXPECT_EQ(request->target, self_of(2).id);
     EXPECT_EQ(request->target_at, self_of(2).at);
   }
-  EXPECT_EQ(one.health(1), Health::alive);
+  EXPECT_EQ(node.health(1), Health::alive);
 }
 
-TEST(Probes, AreMadeForOthersAndAnsweredWithANackInTime) {
-  One one;
-  one.hear(1, {update_of(2, 1, Health::alive)});
-  Message request = One::message(Kind::ping_request, 1);
+TEST(MembersProbes, IndirectProbeIsAnsweredByAnAckOrInTimeByANack) {
+  SingleMember node;
+  node.receive(1, {update_of(2, 1, Health::alive)});
+  Message request = SingleMember::message(Kind::ping_request, 1);
   request.target = self_of(2).id;
   request.target_at = self_of(2).at;
-  one.hear(request);
-  const Message* ping = one.sent(Kind::ping, 2);
+  node.receive(request);
+  const Message* ping = node.sent(Kind::ping, 2);
   ASSERT_NE(ping, nullptr);
-  Message ack = One::message(Kind::ack, 2);
+  Message ack = SingleMember::message(Kind::ack, 2);
   ack.sequence = ping->sequence;
   ack.target = self_of(2).id;
-  one.hear(ack);
-  ASSERT_NE(one.sent(Kind::ack, 1), nullptr);
-  EXPECT_EQ(one.sent(Kind::ack, 1)->sequence, 77U);
-  EXPECT_EQ(one.sent(Kind::ack, 1)->target, self_of(2).id);
-  one.hear(request);
-  one.run(milliseconds(299));
-  EXPECT_EQ(one.sent(Kind::nack, 1), nullptr);
-  one.run(milliseconds(1));
-  ASSERT_NE(one.sent(Kind::nack, 1), nullptr);
-  EXPECT_EQ(one.sent(Kind::nack, 1)->sequence, 77U);
+  node.receive(ack);
+  ASSERT_NE(node.sent(Kind::ack, 1), nullptr);
+  EXPECT_EQ(node.sent(Kind::ack, 1)->sequence, 77U);
+  EXPECT_EQ(node.sent(Kind::ack, 1)->target, self_of(2).id);
+  node.receive(request);
+  node.run(milliseconds(299));
+  EXPECT_EQ(node.sent(Kind::nack, 1), nullptr);
+  node.run(milliseconds(1));
+  ASSERT_NE(node.sent(Kind::nack, 1), nullptr);
+  EXPECT_EQ(node.sent(Kind::nack, 1)->sequence, 77U);
 }
 
-TEST(Suspicion, ShrinksWithConfirmationsAndEndsInDeath) {
+TEST(MembersSuspicion, ShrinksWithConfirmationsAndEndsInDeath) {
   for (const std::size_t confirmations : {0U, 1U, 3U}) {
-    One one;
+    SingleMember node;
     std::vector<Update> others;
     for (std::size_t n = 2; n < 10; ++n) others.push_back(update_of(n, 1, Health::alive));
-    one.hear(1, others);
-    one.hear(1, {update_of(9, 1, Health::suspect, 1)});
+    node.receive(1, others);
+    node.receive(1, {update_of(9, 1, Health::suspect, 1)});
     for (std::size_t by = 2; by < 2 + confirmations; ++by) {
-      one.hear(1, {update_of(9, 1, Health::suspect, by)});
-      one.hear(1, {update_of(9, 1, Health::suspect, by)});  // counts once
-      ASSERT_NE(one.sent_of(9), nullptr) << "passed on";
+      node.receive(1, {update_of(9, 1, Health::suspect, by)});
+      node.receive(1, {update_of(9, 1, Health::suspect, by)});  // counts once
+      ASSERT_NE(node.sent_update(9), nullptr) << "passed on";
     }
-    // 10 members: least 4 periods, most 24; the logarithm of confirmations + 1 to the base 4 between.
+    // 10 members: from 24 periods down to 4, by the logarithm of confirmations + 1 to the base 4.
     const std::size_t periods = confirmations == 0 ? 24 : confirmations == 1 ? 14 : 4;
-    answer(one, seconds(periods) - milliseconds(1), {});
-    EXPECT_EQ(one.health(9), Health::suspect);
-    answer(one, milliseconds(2), {});
-    EXPECT_EQ(one.health(9), Health::dead);
-    const auto* changed = one.told<HealthChanged>();
+    answer(node, seconds(periods) - milliseconds(1), {});
+    EXPECT_EQ(node.health(9), Health::suspect);
+    answer(node, milliseconds(2), {});
+    EXPECT_EQ(node.health(9), Health::dead);
+    const auto* changed = node.action<HealthChanged>();
     ASSERT_NE(changed, nullptr);
     EXPECT_EQ(changed->from, Health::suspect);
     EXPECT_EQ(changed->to, Health::dead);
   }
 }
 
-TEST(Buddy, WhoIsSuspectedIsToldFirst) {
+TEST(MembersBuddy, SuspectedMemberIsNotifiedFirst) {
   for (const bool buddy : {true, false}) {
     MembersSettings settings;
     settings.buddy = buddy;
-    settings.spread = 0.1;  // each news leaves once: it is gone from the queue when the suspect is probed
-    One one(settings);
-    one.hear(1, {update_of(2, 1, Health::alive)});
-    one.hear(1, {update_of(2, 1, Health::suspect, 1)});
-    answer(one, seconds(4), {});
-    bool told = false;
-    for (const auto& a : one.actions) {
+    settings.retransmit_multiplier =
+        0.1;  // each update is sent once: it has left the queue when the suspect is probed
+    SingleMember node(settings);
+    node.receive(1, {update_of(2, 1, Health::alive)});
+    node.receive(1, {update_of(2, 1, Health::suspect, 1)});
+    answer(node, seconds(4), {});
+    bool notified = false;
+    for (const auto& a : node.actions) {
       const auto* send = std::get_if<Send>(&a);
       if (send == nullptr || send->message.kind != Kind::ping || send->member != self_of(2).id) continue;
       const auto& updates = send->message.updates;
-      told = updates.size() > 1 && updates[1].member == self_of(2).id && updates[1].health == Health::suspect;
+      notified =
+          updates.size() > 1 && updates[1].member == self_of(2).id && updates[1].health == Health::suspect;
     }
-    EXPECT_EQ(told, buddy);
+    EXPECT_EQ(notified, buddy);
   }
 }
 
-TEST(LocalHealth, FallsWithOwnFailuresAndStretchesThePeriod) {
+TEST(MembersLocalHealth, DegradesWithUnansweredProbesAndStretchesThePeriod) {
   std::size_t pings[2] = {};
-  for (const std::size_t most : {1U, 8U}) {
+  for (const std::size_t max_multiplier : {1U, 8U}) {
     MembersSettings settings;
-    settings.health_most = most;
-    settings.dead_every = 0;
-    One one(settings);
-    one.hear(1, {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive)});
-    answer(one, seconds(4), {1, 2, 3});
-    for (const auto& a : one.actions) {
+    settings.max_health_multiplier = max_multiplier;
+    settings.dead_probe_periods = 0;
+    SingleMember node(settings);
+    node.receive(1, {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive)});
+    answer(node, seconds(4), {1, 2, 3});
+    for (const auto& a : node.actions) {
       const auto* send = std::get_if<Send>(&a);
-      pings[most == 1 ? 0 : 1] += send != nullptr && send->message.kind == Kind::ping ? 1 : 0;
+      pings[max_multiplier == 1 ? 0 : 1] += send != nullptr && send->message.kind == Kind::ping ? 1 : 0;
     }
-    EXPECT_EQ(one.members.health() > 1, most > 1) << "neither an answer nor a nack";
-    EXPECT_LE(one.members.health(), most);
+    EXPECT_EQ(node.members.health_multiplier() > 1, max_multiplier > 1) << "neither an answer nor a nack";
+    EXPECT_LE(node.members.health_multiplier(), max_multiplier);
   }
   EXPECT_EQ(pings[0], 4U);
   EXPECT_LE(pings[1], 2U);
 }
 
-TEST(LocalHealth, NacksFromAllKeepIt) {
-  One one;
-  one.hear(1, {update_of(2, 1, Health::alive)});
-  for (int turn = 0; turn < 8 && one.health(2) == Health::alive; ++turn) {
-    answer(one, milliseconds(500), {2});
-    for (const Actions told = one.actions; const auto& a : told) {
+TEST(MembersLocalHealth, IsUnchangedWhenAllHelpersSendNacks) {
+  SingleMember node;
+  node.receive(1, {update_of(2, 1, Health::alive)});
+  for (int step = 0; step < 8 && node.health(2) == Health::alive; ++step) {
+    answer(node, milliseconds(500), {2});
+    for (const Actions sent = node.actions; const auto& a : sent) {
       const auto* send = std::get_if<Send>(&a);
       if (send == nullptr || send->message.kind != Kind::ping_request) continue;
-      Message nack = One::message(Kind::nack, 1);
+      Message nack = SingleMember::message(Kind::nack, 1);
       nack.sequence = send->message.sequence;
       nack.target = self_of(2).id;
-      one.hear(nack);
+      node.receive(nack);
     }
   }
-  EXPECT_EQ(one.health(2), Health::suspect);
-  EXPECT_EQ(one.members.health(), 1U);
+  EXPECT_EQ(node.health(2), Health::suspect);
+  EXPECT_EQ(node.members.health_multiplier(), 1U);
 }
 
-TEST(Frozen, WhatCameWhileItStoodIsNotHeldAgainstOthers) {
+TEST(MembersSuspended, MissedAnswersDoNotCountAgainstOthers) {
   for (const bool message_first : {false, true}) {
-    One one;
-    one.hear(1, {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive)});
-    one.hear(1, {update_of(3, 1, Health::suspect, 1)});
-    answer(one, seconds(1));
-    one.run(milliseconds(950));  // a probe is under way
-    one.now += seconds(60);
-    if (message_first) one.hear(1, {});
-    answer(one, milliseconds(1));
-    EXPECT_EQ(one.told<HealthChanged>(), nullptr);
-    EXPECT_EQ(one.health(3), Health::suspect) << "its time has not run while nobody could be heard";
-    EXPECT_GE(one.members.health(), 3U);
-    answer(one, seconds(20));
-    EXPECT_EQ(one.members.health(), 1U) << "answers bring it back";
-    EXPECT_EQ(one.health(1), Health::alive);
-    EXPECT_EQ(one.health(2), Health::alive);
+    SingleMember node;
+    node.receive(1, {update_of(2, 1, Health::alive), update_of(3, 1, Health::alive)});
+    node.receive(1, {update_of(3, 1, Health::suspect, 1)});
+    answer(node, seconds(1));
+    node.run(milliseconds(950));  // a probe is in progress
+    node.now += seconds(60);
+    if (message_first) node.receive(1, {});
+    answer(node, milliseconds(1));
+    EXPECT_EQ(node.action<HealthChanged>(), nullptr);
+    EXPECT_EQ(node.health(3), Health::suspect) << "its suspicion is extended by the suspension";
+    EXPECT_GE(node.members.health_multiplier(), 3U);
+    answer(node, seconds(20));
+    EXPECT_EQ(node.members.health_multiplier(), 1U) << "answers restore it";
+    EXPECT_EQ(node.health(1), Health::alive);
+    EXPECT_EQ(node.health(2), Health::alive);
   }
 }
 
-TEST(Leaving, IsToldToSomeThenNothingMoreIsSent) {
-  One one;
-  one.hear(1, {update_of(2, 1, Health::alive)});
-  one.actions.clear();
-  one.members.leave(one.now, one.actions);
+TEST(MembersLeave, IsSentToSomeMembersThenNothingMoreIsSent) {
+  SingleMember node;
+  node.receive(1, {update_of(2, 1, Health::alive)});
+  node.actions.clear();
+  node.members.leave(node.now, node.actions);
   for (const std::size_t to : {1U, 2U}) {
-    const Message* ping = one.sent(Kind::ping, to);
+    const Message* ping = node.sent(Kind::ping, to);
     ASSERT_NE(ping, nullptr);
     EXPECT_EQ(ping->updates.front().health, Health::left);
   }
-  one.hear(1, {update_of(0, 1, Health::dead, 1)});
-  EXPECT_TRUE(one.actions.empty());
-  EXPECT_EQ(one.members.next(), Time::max());
+  node.receive(1, {update_of(0, 1, Health::dead, 1)});
+  EXPECT_TRUE(node.actions.empty());
+  EXPECT_EQ(node.members.next(), Time::max());
 }
 
-TEST(Remembered, AreAskedAndHeldDeadUntilTheySpeak) {
-  Members members({}, One::self(1), {}, 1);
-  const std::vector<Update> kept{update_of(1, 9, Health::alive), update_of(0, 3, Health::alive)};
-  members.remember(kept);
+TEST(MembersRestored, AreAskedToJoinAndHeldDeadUntilTheySend) {
+  Members members({}, SingleMember::self(1), {}, 1);
+  const std::vector<Update> stored{update_of(1, 9, Health::alive), update_of(0, 3, Health::alive)};
+  members.restore(stored);
   Actions actions;
   members.begin(Time{}, actions);
   members.tick(Time{}, actions);
@@ -199,10 +201,10 @@
     const auto* send = std::get_if<Send>(&a);
     return send != nullptr && send->message.kind == Kind::join && send->to == self_of(1).at;
   }));
-  Message spoke = One::message(Kind::ping, 1, 2);
-  spoke.updates = {update_of(1, 2, Health::alive)};
-  members.heard(Time{}, spoke, actions);
-  EXPECT_EQ(members.alive(), 2U) << "under whatever incarnation";
+  Message message = SingleMember::message(Kind::ping, 1, 2);
+  message.updates = {update_of(1, 2, Health::alive)};
+  members.receive(Time{}, message, actions);
+  EXPECT_EQ(members.alive(), 2U) << "whatever its incarnation";
 }
 
 }  // namespace
--- a/tests/fleet/random_messages.h
+++ b/tests/fleet/random_messages.h
@@ -28,7 +28,7 @@
     if (m.kind == members::Kind::ping_request) m.target_at = endpoint();
     for (std::size_t n = below(8); m.updates.size() < n;)
       m.updates.push_back({MemberId{bits()}, bits(), static_cast<members::Health>(below(4)), endpoint(),
-                           text(members::kMostName), text(members::kMaxZoneBytes), MemberId{bits()}});
+                           text(members::kMaxNameBytes), text(members::kMaxZoneBytes), MemberId{bits()}});
     return m;
   }
 
@@ -55,8 +55,8 @@
     if (e.step == 0)
       for (std::size_t i = 0; i < facts::Summary::kBuckets; ++i) e.summary.buckets.push_back(bits());
     if (e.step == 1 || e.step == 2)
-      for (std::size_t n = below(40); e.digest.known.size() < n;)
-        e.digest.known.push_back({MemberId{bits()}, bits(), bits(), below(2) * bits()});
+      for (std::size_t n = below(40); e.digest.entries.size() < n;)
+        e.digest.entries.push_back({MemberId{bits()}, bits(), bits(), below(2) * bits()});
     if (e.step == 1 || e.step == 2) {
       e.digest.buckets = static_cast<std::uint32_t>(bits());
       e.digest.listed_only = below(2) == 0;
@@ -70,7 +70,7 @@
     facts::OwnerDelta of;
     of.owner = MemberId{bits()};
     of.incarnation = bits();
-    of.whole = below(2) == 0;
+    of.full = below(2) == 0;
     of.more = below(2) == 0;
     of.after = bits();
     of.floor = bits();
--- a/tests/fleet/same_messages.h
+++ b/tests/fleet/same_messages.h
@@ -1,4 +1,4 @@
-// Whether two messages are the same, field by field, for the codec's tests.
+// Field-by-field comparison of two messages, for the tests of the codec.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 inline auto fields(const Envelope& e) { return std::tie(e.version, e.fleet, e.epoch, e.from, e.incarnation); }
 
-inline void same(const members::Message& a, const members::Message& b) {
+inline void expect_equal(const members::Message& a, const members::Message& b) {
   EXPECT_EQ(fields(a.envelope), fields(b.envelope));
   EXPECT_EQ(std::tie(a.kind, a.sequence, a.target, a.target_at),
             std::tie(b.kind, b.sequence, b.target, b.target_at));
@@ -21,37 +21,37 @@
   }
 }
 
-inline void same(const facts::Fact& a, const facts::Fact& b) {
+inline void expect_equal(const facts::Fact& a, const facts::Fact& b) {
   EXPECT_EQ(std::tie(a.owner, a.incarnation, a.version, a.key, a.value, a.deleted, a.age),
             std::tie(b.owner, b.incarnation, b.version, b.key, b.value, b.deleted, b.age));
 }
 
-inline void same(const Exchange& a, const Exchange& b) {
+inline void expect_equal(const Exchange& a, const Exchange& b) {
   EXPECT_EQ(fields(a.envelope), fields(b.envelope));
   EXPECT_EQ(a.step, b.step);
   EXPECT_EQ(a.summary.buckets, b.summary.buckets);
   EXPECT_EQ(std::tie(a.digest.buckets, a.digest.listed_only),
             std::tie(b.digest.buckets, b.digest.listed_only));
-  ASSERT_EQ(a.digest.known.size(), b.digest.known.size());
-  for (std::size_t i = 0; i < a.digest.known.size(); ++i) {
-    const facts::Known &x = a.digest.known[i], &y = b.digest.known[i];
+  ASSERT_EQ(a.digest.entries.size(), b.digest.entries.size());
+  for (std::size_t i = 0; i < a.digest.entries.size(); ++i) {
+    const facts::DigestEntry &x = a.digest.entries[i], &y = b.digest.entries[i];
     EXPECT_EQ(std::tie(x.owner, x.incarnation, x.highest, x.floor),
               std::tie(y.owner, y.incarnation, y.highest, y.floor));
   }
   ASSERT_EQ(a.delta.owners.size(), b.delta.owners.size());
   for (std::size_t i = 0; i < a.delta.owners.size(); ++i) {
     const facts::OwnerDelta &x = a.delta.owners[i], &y = b.delta.owners[i];
-    EXPECT_EQ(std::tie(x.owner, x.incarnation, x.whole, x.floor, x.more, x.after),
-              std::tie(y.owner, y.incarnation, y.whole, y.floor, y.more, y.after));
+    EXPECT_EQ(std::tie(x.owner, x.incarnation, x.full, x.floor, x.more, x.after),
+              std::tie(y.owner, y.incarnation, y.full, y.floor, y.more, y.after));
     ASSERT_EQ(x.facts.size(), y.facts.size());
-    for (std::size_t f = 0; f < x.facts.size(); ++f) same(x.facts[f], y.facts[f]);
+    for (std::size_t f = 0; f < x.facts.size(); ++f) expect_equal(x.facts[f], y.facts[f]);
   }
 }
 
-inline void same(const news::Message& a, const news::Message& b) {
+inline void expect_equal(const news::Message& a, const news::Message& b) {
   EXPECT_EQ(fields(a.envelope), fields(b.envelope));
   ASSERT_EQ(a.facts.size(), b.facts.size());
-  for (std::size_t i = 0; i < a.facts.size(); ++i) same(a.facts[i], b.facts[i]);
+  for (std::size_t i = 0; i < a.facts.size(); ++i) expect_equal(a.facts[i], b.facts[i]);
 }
 
 }  // namespace reeltack::fleet::link
--- a/tests/fleet/sim_runs.cpp
+++ b/tests/fleet/sim_runs.cpp
@@ -53,7 +53,7 @@
   w.forget_counts();
   const auto facts = [&w] {
     std::uint64_t all = 0;
-    for (const World::Node& n : w.nodes) all += n.turn->facts().counts().taken;
+    for (const World::Node& n : w.nodes) all += n.turn->facts().counts().accepted;
     return all;
   };
   const std::uint64_t facts_before = facts();
