--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -20,7 +20,7 @@
 const rules::Entry<T> kTerms[] = {
     entry<T, &T::members, &Members::period>("period"),
     entry<T, &T::members, &Members::probe_timeout>("probe_timeout"),
-    entry<T, &T::members, &Members::indirect>("indirect", Severity::notice),
+    entry<T, &T::members, &Members::indirect_probes>("indirect", Severity::notice),
     entry<T, &T::gossip, &Gossip::interval>("every", Severity::notice),
     entry<T, &T::gossip, &Gossip::urgent_interval>("urgent", Severity::notice),
     entry<T, &T::gossip, &Gossip::bytes_per_second>("bytes", Severity::notice),
--- a/src/fleet/news/news.h
+++ b/src/fleet/news/news.h
@@ -142,7 +142,7 @@
 
   EagerPushSettings settings_;
   MemberId self_;
-  members::Draws draws_;
+  members::Random draws_;
   std::map<ServerId, KnownOffice> known_;
   std::map<Meaning, Pushed> pushed_;
   std::map<MemberId, RateWindow> admitted_;
--- a/src/fleet/pace/pace.h
+++ b/src/fleet/pace/pace.h
@@ -102,7 +102,7 @@
   [[nodiscard]] std::optional<MemberId> select() const;
 
   GossipScheduleSettings settings_;
-  members::Draws draws_;
+  members::Random draws_;
   std::map<MemberId, PeerState> peers_;
   Time begun_ = Time::max();
   Time last_begun_ = Time::max();  // when the last exchange was begun here
--- a/src/fleet/turn/kept.cpp
+++ b/src/fleet/turn/kept.cpp
@@ -28,7 +28,7 @@
 std::string format_members(const members::Members& source) {
   std::string out;
   for (const auto& [id, member] : source.table()) {
-    const members::Update& u = member.told;
+    const members::Update& u = member.update;
     if (u.health == members::Health::left || (u.name + u.zone).find_first_of("\t\n") != std::string::npos)
       continue;
     out += std::to_string(static_cast<std::uint64_t>(id)) + '\t' + std::to_string(u.at.address) + '\t' +
@@ -52,7 +52,8 @@
     if (!next_number(line, id) || !next_number(line, u.at.address) || !next_number(line, u.at.port) ||
         !next_number(line, u.incarnation) || !next_field(line, name) || !next_field(line, zone))
       continue;
-    if (id == 0 || u.at.port == 0 || name.size() > members::kMostName || zone.size() > members::kMaxZoneBytes)
+    if (id == 0 || u.at.port == 0 || name.size() > members::kMaxNameBytes ||
+        zone.size() > members::kMaxZoneBytes)
       continue;
     u.member = MemberId{id};
     u.name = name;
--- a/src/fleet/turn/people.cpp
+++ b/src/fleet/turn/people.cpp
@@ -13,7 +13,7 @@
 
 void Coordinator::log_change(const members::HealthChanged& change, CoordinatorActions& actions) const {
   const auto found = members_.table().find(change.member);
-  const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
+  const std::string name = found == members_.table().end() ? "?" : found->second.update.name;
   actions.emplace_back(
       Log{"member", "name=" + name + " from=" + (change.from ? name_of(*change.from) : "unknown") +
                         " to=" + name_of(change.to) + " incarnation=" + std::to_string(change.incarnation) +
@@ -27,11 +27,11 @@
   for (const MemberId id : changed.live) {
     const auto found = members_.table().find(id);
     changed.incarnations.push_back(found == members_.table().end() ? members_.self().incarnation
-                                                                   : found->second.told.incarnation);
+                                                                   : found->second.update.incarnation);
   }
   changed.known = 1;
   for (const auto& [id, member] : members_.table())
-    changed.known += member.told.health != members::Health::left ? 1 : 0;
+    changed.known += member.update.health != members::Health::left ? 1 : 0;
   std::vector<pace::Peer> peers;
   for (std::size_t i = 0; i < changed.live.size(); ++i)
     if (changed.live[i] != members_.self().id) peers.push_back({changed.live[i], changed.incarnations[i]});
--- a/src/fleet/turn/rules.cpp
+++ b/src/fleet/turn/rules.cpp
@@ -17,13 +17,14 @@
   if (members_changed_ || agreed_notified_ != recovery_.largest()) {
     members_changed_ = false;
     agreed_notified_ = recovery_.largest();
-    drift::Members changed;
+    drift::MembersChanged changed;
     changed.agreed = agreed_notified_;
     for (const auto& [id, member] : members_.table()) {
-      if (id == members_.self().id || member.told.health == members::Health::left) continue;
+      if (id == members_.self().id || member.update.health == members::Health::left) continue;
       const bool alive =
-          member.told.health == members::Health::alive || member.told.health == members::Health::suspect;
-      changed.members.push_back({id, member.told.incarnation, member.told.name, member.told.zone, alive});
+          member.update.health == members::Health::alive || member.update.health == members::Health::suspect;
+      changed.members.push_back(
+          {id, member.update.incarnation, member.update.name, member.update.zone, alive});
     }
     on_drift(now, changed, actions);
   }
@@ -43,9 +44,9 @@
         continue;
       }
       if (!publish->renewal) gossip_.spread_change(now);  // drift is to be detected within seconds
-    } else if (const auto* keep = std::get_if<drift::Keep>(&action)) {
+    } else if (const auto* keep = std::get_if<drift::Persist>(&action)) {
       actions.emplace_back(Store{keep->key, keep->value, keep->vote});
-    } else if (const auto* note = std::get_if<drift::Note>(&action)) {
+    } else if (const auto* note = std::get_if<drift::LogLine>(&action)) {
       const std::size_t space = note->text.find(' ');
       actions.emplace_back(Log{note->text.substr(0, space), note->text.substr(space + 1)});
     }
--- a/src/fleet/turn/talks.cpp
+++ b/src/fleet/turn/talks.cpp
@@ -15,7 +15,7 @@
   const ConnectionId id{++last_exchange_ << 1U};
   exchanges_[id] = {.with = *with, .initiated_here = true, .deadline = now + settings_.exchange_timeout};
   ++counts_.exchanges_started;
-  actions.emplace_back(Dial{id, member->second.told.at, *with});
+  actions.emplace_back(Dial{id, member->second.update.at, *with});
 }
 
 void Coordinator::on_opened(const Opened& opened, CoordinatorActions& actions) {
@@ -73,9 +73,9 @@
       send_step(received.id, running, {envelope(), 1, {}, facts_.digest(e.summary), {}}, actions);
       break;
     case 1: {
-      facts::Digest wanted = facts_.wanted(e.digest);
+      facts::Digest wanted = facts_.request(e.digest);
       facts::Delta lacking = facts_.delta(now, e.digest);
-      const bool more = !wanted.known.empty();
+      const bool more = !wanted.entries.empty();
       if (more || !lacking.owners.empty())
         send_step(received.id, running, {envelope(), 2, {}, std::move(wanted), std::move(lacking)}, actions);
       if (!more) end(now, received.id, true, true, actions);
@@ -84,7 +84,7 @@
     case 2: {
       // First, so that the answer includes the facts written here as a result.
       apply(now, running.with, e.delta, actions);
-      if (!e.digest.known.empty())
+      if (!e.digest.entries.empty())
         send_step(received.id, running, {envelope(), 3, {}, {}, facts_.delta(now, e.digest)}, actions);
       end(now, received.id, true, true, actions);
       break;
@@ -100,7 +100,7 @@
 void Coordinator::apply(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions) {
   const std::uint64_t before = verdicts_;
   if (facts_.bytes() <= settings_.max_bytes_with_non_members) {
-    apply(now, facts_.take(now, from, delta), actions);
+    apply(now, facts_.apply(now, from, delta), actions);
   } else {
     facts::Delta of_members;
     for (const facts::OwnerDelta& part : delta.owners) {
@@ -110,7 +110,7 @@
         counts_.over_bound += part.facts.size();
       }
     }
-    apply(now, facts_.take(now, from, of_members), actions);
+    apply(now, facts_.apply(now, from, of_members), actions);
   }
   if (verdicts_ != before) gossip_.spread_change(now);
 }
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/turn/turn.cpp
@@ -49,7 +49,7 @@
                         std::span<const members::Update> remembered, CoordinatorActions& actions) {
   begun_ = true;
   decide(now, recovery::Restored{std::move(stored)}, actions);
-  members_.remember(remembered);
+  members_.restore(remembered);
   members::Actions wanted;
   members_.begin(now, wanted);
   apply(now, wanted, actions);
@@ -95,7 +95,7 @@
 void Coordinator::on_membership(Time now, const members::Message& message, CoordinatorActions& actions) {
   if (!acceptable(message.envelope) || rate_exceeded(now, message.envelope.from)) return;
   members::Actions wanted;
-  members_.heard(now, message, wanted);
+  members_.receive(now, message, wanted);
   apply(now, wanted, actions);
 }
 
@@ -162,12 +162,12 @@
       log_change(*change, actions);
       if (change->to == members::Health::dead || change->to == members::Health::left) {
         decide(now, recovery::MemberRemoved{change->member}, actions);
-        if (change->to == members::Health::left) facts_.forget(now, change->member);
+        if (change->to == members::Health::left) facts_.forget_owner(now, change->member);
       }
     }
   }
   // A restart that no member observed as a death shows only in the incarnation.
-  const std::uint64_t sum = members_.incarnations();
+  const std::uint64_t sum = members_.incarnation_sum();
   if (!changed && sum == incarnations_) return;
   incarnations_ = sum;
   store_members_at_ = std::min(store_members_at_, now + kStoreMembersDelay);
@@ -205,7 +205,7 @@
   }
 }
 
-void Coordinator::apply(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions) {
+void Coordinator::apply(Time now, const facts::Facts::Applied& taken, CoordinatorActions& actions) {
   if (taken.conflicting_incarnation > members_.self().incarnation) {
     actions.emplace_back(
         Log{"namesake", "incarnation=" + number(taken.conflicting_incarnation) +
@@ -215,7 +215,7 @@
   for (const facts::Fact& fact : taken.changed) {
     if (fact.owner == members_.self().id) continue;
     if (fact.key.kind >= facts::Kind::vote) {
-      on_drift(now, drift::Told{fact}, actions);
+      on_drift(now, drift::FactReceived{fact}, actions);
       continue;
     }
     if (eager_push_.on_exchanged(now, fact)) received.emplace_back(recovery::FactReceived{fact});
--- a/src/fleet/turn/turn.h
+++ b/src/fleet/turn/turn.h
@@ -189,7 +189,7 @@
   void on_membership(Time now, const members::Message& message, CoordinatorActions& actions);
   void apply(Time now, const members::Actions& wanted, CoordinatorActions& actions);
   void apply(Time now, const recovery::Actions& wanted, CoordinatorActions& actions);
-  void apply(Time now, const facts::Facts::Taken& taken, CoordinatorActions& actions);
+  void apply(Time now, const facts::Facts::Applied& taken, CoordinatorActions& actions);
   void apply(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
   // urgent.cpp
   void on_push(Time now, const news::Message& message, CoordinatorActions& actions);
--- a/src/fleet/turn/urgent.cpp
+++ b/src/fleet/turn/urgent.cpp
@@ -15,7 +15,7 @@
 // the probes sent to it do not get through.
 bool Coordinator::is_member(MemberId member) const {
   const auto found = members_.table().find(member);
-  return found != members_.table().end() && found->second.told.health != members::Health::left;
+  return found != members_.table().end() && found->second.update.health != members::Health::left;
 }
 
 void Coordinator::on_push(Time now, const news::Message& message, CoordinatorActions& actions) {
@@ -33,8 +33,8 @@
 // them all.
 void Coordinator::deliver(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions) {
   const facts::OwnerDelta delta{fact.owner, fact.incarnation, false, false, fact.version - 1, 0, {fact}};
-  const facts::Facts::Taken taken = facts_.take(now, from, {{delta}});
-  const auto current = facts_.of(now, fact.owner, fact.key);
+  const facts::Facts::Applied taken = facts_.apply(now, from, {{delta}});
+  const auto current = facts_.find(now, fact.owner, fact.key);
   const bool held = current && std::pair(current->incarnation, current->version) >=
                                    std::pair(fact.incarnation, fact.version);  // this one or a later one
   apply(now, taken, actions);
@@ -50,7 +50,7 @@
   if (refusal_logged_at_ != Time::min() && now < refusal_logged_at_ + kRefusalLogInterval) return;
   refusal_logged_at_ = now;
   const auto found = members_.table().find(from);
-  const std::string name = found == members_.table().end() ? "?" : found->second.told.name;
+  const std::string name = found == members_.table().end() ? "?" : found->second.update.name;
   const std::array<std::pair<const char*, bool>, 5> reasons{
       {{"malformed", after.malformed > before.malformed},
        {"stranger", after.non_member > before.non_member},
@@ -68,19 +68,19 @@
 void Coordinator::fact_written(Time now, const facts::Key& key) {
   if (key.kind == facts::Kind::list) gossip_.spread_change(now);
   if (key.kind != facts::Kind::office) return;
-  if (const auto fact = facts_.of(now, members_.self().id, key)) eager_push_.on_written(now, *fact);
+  if (const auto fact = facts_.find(now, members_.self().id, key)) eager_push_.on_written(now, *fact);
 }
 
 void Coordinator::send_pushes(Time now, CoordinatorActions& actions) {
   if (!begun_ || now < eager_push_.next()) return;
   std::vector<MemberId> live, dead;
   for (const auto& [id, member] : members_.table()) {
-    if (member.told.health == members::Health::left) continue;
-    (member.told.health == members::Health::dead ? dead : live).push_back(id);
+    if (member.update.health == members::Health::left) continue;
+    (member.update.health == members::Health::dead ? dead : live).push_back(id);
   }
   for (news::Push& push : eager_push_.due(now, live, dead))
     actions.emplace_back(
-        SendPush{members_.table().at(push.to).told.at, push.to, {envelope(), std::move(push.facts)}});
+        SendPush{members_.table().at(push.to).update.at, push.to, {envelope(), std::move(push.facts)}});
 }
 
 }  // namespace reeltack::fleet
