--- a/bench/circuits_figures.cpp
+++ b/bench/circuits_figures.cpp
@@ -124,7 +124,7 @@
   w.run(w.now + 20s, 20.0, 3s, random);
   std::printf("\nstuck circuits: %llu induced, the longest stay %.0f ms (bound %.0f ms), still stuck %zu\n",
               static_cast<unsigned long long>(losses), ms(w.longest_stuck()),
-              ms(settle_bound(test::settings_of(100, true, Hunting::opposite))), w.still_stuck());
+              ms(max_settle_time(test::settings_of(100, true, Hunting::opposite))), w.still_stuck());
 }
 
 void worth() {
--- a/bench/circuits_world.h
+++ b/bench/circuits_world.h
@@ -65,10 +65,10 @@
     std::uint64_t n = 0;
     for (Cic cic = 0; cic < group(end).size(); ++cic) {
       const auto s = group(end).state(cic);
-      if (s != Group::State::standing_out && s != Group::State::standing_in) continue;
+      if (s != Group::State::established_out && s != Group::State::established_in) continue;
       if (load::uniform(random) >= part) continue;
       GroupActions none;
-      group(end).release(now, group(end).call_on(cic), s == Group::State::standing_out, kTemporaryFailure,
+      group(end).release(now, group(end).call_on(cic), s == Group::State::established_out, kTemporaryFailure,
                          none);
       stuck_[cic] = now;
       ++n;
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -97,9 +97,9 @@
   }
   print("open, prove and read all", ms);
   std::vector<double> put;
-  store::KeeperCounts counts;
+  store::AsyncStoreCounts counts;
   {
-    store::Keeper keeper(settings, open(settings), {});
+    store::AsyncStore keeper(settings, open(settings), {});
     for (int i = 0; i < 100000; ++i) {
       const std::string name = key(i % 32);
       const auto from = Clock::now();
--- a/src/circuits/group.cpp
+++ b/src/circuits/group.cpp
@@ -116,7 +116,7 @@
   const auto found = calls_.find(key(call, false));
   if (found == calls_.end() || circuits_[found->second].state != State::seized_in) return;
   const Cic cic = found->second;
-  enter(cic, State::standing_in, call);
+  enter(cic, State::established_in, call);
   send_on(cic, Kind::anm, call, 0, actions);
 }
 
--- a/src/circuits/group.h
+++ b/src/circuits/group.h
@@ -79,8 +79,8 @@
     idle,
     seized_out,
     seized_in,
-    standing_out,
-    standing_in,
+    established_out,
+    established_in,
     releasing,
     resetting
   };
@@ -141,11 +141,11 @@
   };
   static std::uint64_t key(std::uint64_t call, bool outgoing) { return call * 2 + (outgoing ? 1U : 0U); }
   static bool holds_call(State s) {
-    return s == State::seized_out || s == State::seized_in || s == State::standing_out ||
-           s == State::standing_in;
+    return s == State::seized_out || s == State::seized_in || s == State::established_out ||
+           s == State::established_in;
   }
-  static bool is_out(State s) { return s == State::seized_out || s == State::standing_out; }
-  static bool stands(State s) { return s == State::standing_out || s == State::standing_in; }
+  static bool is_out(State s) { return s == State::seized_out || s == State::established_out; }
+  static bool stands(State s) { return s == State::established_out || s == State::established_in; }
   // Sends a message on one circuit, with the next sequence number.
   void send_on(Cic cic, Kind kind, std::uint64_t call, int cause, GroupActions& actions);
   void enter(Cic cic, State state, std::uint64_t call);
@@ -163,7 +163,7 @@
   void send_blocking(bool blocked, Cic first, std::uint32_t count, GroupActions& actions);
   void respond(const Message& query, GroupActions& actions) const;
   void compare(Time now, const Message& response, GroupActions& actions);
-  void compare_one(Time now, Cic cic, const CircuitWord& report);
+  void compare_one(Time now, Cic cic, const CircuitStatus& report);
   void mark_agreed(Cic cic);
   // Frees or resets what disagreed twice with nothing in between, one batch.
   void settle(Time now, GroupActions& actions);
--- a/src/circuits/group_actions.h
+++ b/src/circuits/group_actions.h
@@ -23,7 +23,7 @@
   std::uint64_t call = 0;
 };
 // A call of ours lost a dual seizure: it has not run at the far end, and another may be tried at once.
-struct NotSent {
+struct SeizureLost {
   std::uint64_t call = 0;
 };
 // A call is over that had been seized, offered or stood.
@@ -34,7 +34,7 @@
   int cause = 0;      // Q.850
   bool told = false;  // by the far end's release; else by a break, a reset or an audit
 };
-using GroupAction = std::variant<Send, Offered, Answered, NotSent, Over>;
+using GroupAction = std::variant<Send, Offered, Answered, SeizureLost, Over>;
 using GroupActions = std::vector<GroupAction>;
 
 // Causes (ITU-T Q.850).
--- a/src/circuits/group_audit.cpp
+++ b/src/circuits/group_audit.cpp
@@ -53,14 +53,14 @@
   m.words.reserve(query.count);
   for (Cic cic = query.cic; cic < query.cic + query.count; ++cic) {
     const Circuit& c = circuits_[cic];
-    CircuitWord w;
+    CircuitStatus w;
     w.heard = c.heard;
     w.standing = stands(c.state);
     if (holds_call(c.state)) {
-      w.state = is_out(c.state) ? CircuitWord::State::out : CircuitWord::State::in;
+      w.state = is_out(c.state) ? CircuitStatus::State::out : CircuitStatus::State::in;
       w.call = c.call;
     } else if (c.state != State::idle) {
-      w.state = CircuitWord::State::changing;
+      w.state = CircuitStatus::State::changing;
     }
     m.words.push_back(w);
   }
@@ -79,9 +79,9 @@
   reselect(cic);
 }
 
-void Group::compare_one(Time now, Cic cic, const CircuitWord& report) {
+void Group::compare_one(Time now, Cic cic, const CircuitStatus& report) {
   Circuit& c = circuits_[cic];
-  using Reported = CircuitWord::State;
+  using Reported = CircuitStatus::State;
   // Something of ours had not been heard when this was said: it speaks of a past state. The other way round
   // nothing can be on its way, since what was sent before it has come before it.
   if (report.heard != c.sent) return;
--- a/src/circuits/group_connection.cpp
+++ b/src/circuits/group_connection.cpp
@@ -36,7 +36,7 @@
   up_ = false;
   audit_due_ = settle_at_ = Time::max();
   audit_urgent_ = false;
-  silence_at_ = now + settings_.silence_most;
+  silence_at_ = now + settings_.max_silence;
   for (Cic cic = 0; cic < settings_.size; ++cic) {
     Circuit& c = circuits_[cic];
     c.unaudited = true;
@@ -63,7 +63,7 @@
     release_retries_.pop_front();
     Circuit& c = circuits_[due.cic];
     if (!up_ || due.epoch != epoch_ || c.sent != due.sent) continue;  // something was said since
-    if (c.state == State::releasing && c.tries < settings_.release_most) {
+    if (c.state == State::releasing && c.tries < settings_.max_releases) {
       ++c.tries;
       ++counts_.releases_again;
       send_on(due.cic, Kind::rel, c.call, kNormalClearing, actions);
--- a/src/circuits/group_receive.cpp
+++ b/src/circuits/group_receive.cpp
@@ -42,7 +42,7 @@
     ++counts_.stale;  // it crossed our release; or an audit settles it
     return;
   }
-  enter(m.cic, State::standing_out, m.call);
+  enter(m.cic, State::established_out, m.call);
   actions.emplace_back(Answered{m.call});
 }
 
@@ -56,7 +56,7 @@
     if (wins(m.cic)) return true;
     if (c.state == State::seized_out) {
       ++counts_.glare_lost;
-      actions.emplace_back(NotSent{c.call});
+      actions.emplace_back(SeizureLost{c.call});
     }
     enter(m.cic, State::idle, 0);
   } else if (c.state == State::resetting || c.state == State::releasing) {
--- a/src/circuits/group_settings.cpp
+++ b/src/circuits/group_settings.cpp
@@ -3,7 +3,7 @@
 
 namespace reeltack::circuits {
 
-Duration settle_bound(const GroupSettings& s) {
+Duration max_settle_time(const GroupSettings& s) {
   // It is asked about within a period, once more after the confirmation, and waits for its turn to be
   // settled.
   const std::uint32_t batches = (s.size + s.settle_batch - 1) / s.settle_batch;
--- a/src/circuits/group_settings.h
+++ b/src/circuits/group_settings.h
@@ -27,16 +27,16 @@
   Hunting hunting = Hunting::opposite;
   Duration release_again =
       std::chrono::seconds(2);  // a release or reset without its completion is said again (T1, T16)
-  int release_most = 3;         // ... so often; then the circuit is reset (T5)
+  int max_releases = 3;         // ... so often; then the circuit is reset (T5)
   Duration audit_period = std::chrono::seconds(3);      // in which the whole group is compared
   Duration confirm_after = std::chrono::seconds(1);     // what disagrees is asked about once more
   std::uint32_t audit_range = 256;                      // circuits a query
   std::uint32_t settle_batch = 64;                      // circuits freed or reset at once ...
   Duration settle_gap = std::chrono::milliseconds(50);  // ... and how long until the next so many
-  Duration silence_most =
+  Duration max_silence =
       std::chrono::milliseconds(5500);  // without a connection for so long, what stands is over
 };
 // The longest that a stuck circuit stays so, from the moment it got stuck or from the reconnection.
-Duration settle_bound(const GroupSettings& settings);
+Duration max_settle_time(const GroupSettings& settings);
 
 }  // namespace reeltack::circuits
--- a/src/circuits/message.h
+++ b/src/circuits/message.h
@@ -28,25 +28,25 @@
 const char* name_of(Kind kind);
 
 // What a query's response says of one circuit.
-struct CircuitWord {
+struct CircuitStatus {
   enum class State : std::uint8_t { idle, out, in, changing } state{};  // changing: releasing or resetting
   bool standing = false;
   std::uint32_t heard = 0;  // of the asking end's messages, on this connection
   std::uint64_t call = 0;
-  bool operator==(const CircuitWord&) const = default;
+  bool operator==(const CircuitStatus&) const = default;
 };
 
 // One message. Fields that a kind does not use keep their defaults.
 struct Message {
   Kind kind{};
   Cic cic = 0;
-  std::uint32_t count = 1;           // blo, ubl, cqm, cqr: so many circuits from cic on
-  std::uint64_t call = 0;            // iam, anm, rel, rlc
-  int cause = 0;                     // rel: Q.850
-  std::uint32_t sequence = 0;        // of the sender on this circuit, from 1; 0 in group messages
-  std::uint32_t heard = 0;           // of the receiver's on this circuit
-  std::uint32_t token = 0;           // cqm, cqr
-  std::vector<CircuitWord> words{};  // cqr
+  std::uint32_t count = 1;             // blo, ubl, cqm, cqr: so many circuits from cic on
+  std::uint64_t call = 0;              // iam, anm, rel, rlc
+  int cause = 0;                       // rel: Q.850
+  std::uint32_t sequence = 0;          // of the sender on this circuit, from 1; 0 in group messages
+  std::uint32_t heard = 0;             // of the receiver's on this circuit
+  std::uint32_t token = 0;             // cqm, cqr
+  std::vector<CircuitStatus> words{};  // cqr
   bool operator==(const Message&) const = default;
 };
 
--- a/src/config/trunks.cpp
+++ b/src/config/trunks.cpp
@@ -66,14 +66,14 @@
     g.settle_batch = audit.value("batch", g.settle_batch);
     g.settle_gap = span_above_zero(audit, inside, "gap", g.settle_gap);
     const Duration bound = span_above_zero(audit, inside, "bound", 10s);
-    const Duration reached = circuits::settle_bound(g);
+    const Duration reached = circuits::max_settle_time(g);
     if (reached > bound)
       fail(inside, "frees a stuck circuit of " + std::to_string(g.size) + " only after " +
                        yaml::show_span(reached) + ", later than its bound of " + yaml::show_span(bound) +
                        ": period + confirm + gap for each batch; shorten them or make batch larger");
     g.release_again = span_above_zero(t, at, "release_again", g.release_again);
-    g.silence_most = span_above_zero(t, at, "silence", g.silence_most);
-    if (g.silence_most > kLongestSilence)
+    g.max_silence = span_above_zero(t, at, "silence", g.max_silence);
+    if (g.max_silence > kLongestSilence)
       fail(at + "/silence", "must be at most 7s: callers must hear within 8 s that their call is over");
     return out;
   }
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -58,15 +58,15 @@
                     std::to_string(opened.foreign) + " incarnation=" + std::to_string(incarnation_) +
                     (opened.why.empty() ? "" : " why=\"" + opened.why + "\"") +
                     (opened.where.empty() ? "" : " aside=\"" + opened.where + "\""));
-  store::KeeperSettings keeper;
-  keeper.told = [say = say_](const store::KeeperEvent& event) { say("store", to_text(event)); };
+  store::AsyncStoreSettings keeper;
+  keeper.told = [say = say_](const store::AsyncStoreEvent& event) { say("store", to_text(event)); };
   keeper.found = [this](const std::vector<store::Kept>& records) {
     const std::lock_guard lock(late_mutex_);
     late_ = records;
   };
   unread_ = opened.store == nullptr;
   const std::vector<store::Kept> found = std::move(opened.kept);
-  keeper_ = std::make_unique<store::Keeper>(where, std::move(opened), std::move(keeper));
+  keeper_ = std::make_unique<store::AsyncStore>(where, std::move(opened), std::move(keeper));
   for (const store::Kept& r : found)
     if (is_promise(r.key) && r.fleet == fleet_ && r.owner == owner_) keeper_->remember(r.key, r.value);
   put(Store{kIncarnationKey, std::to_string(incarnation_), std::nullopt});
@@ -212,6 +212,8 @@
   if (keeper_) static_cast<void>(keeper_->flush(within));
 }
 
-store::KeeperCounts Keeping::counts() const { return keeper_ ? keeper_->counts() : store::KeeperCounts{}; }
+store::AsyncStoreCounts Keeping::counts() const {
+  return keeper_ ? keeper_->counts() : store::AsyncStoreCounts{};
+}
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -46,7 +46,7 @@
   [[nodiscard]] std::optional<Duration> look_again() const;
   void flush(std::chrono::milliseconds within);
   [[nodiscard]] bool on() const { return keeper_ != nullptr; }
-  [[nodiscard]] store::KeeperCounts counts() const;
+  [[nodiscard]] store::AsyncStoreCounts counts() const;
 
  private:
   struct Moment {
@@ -83,7 +83,7 @@
 
   std::mutex late_mutex_;
   std::optional<std::vector<store::Kept>> late_;  // what the keeper's thread has found in an unread store
-  std::unique_ptr<store::Keeper> keeper_;         // the first to go
+  std::unique_ptr<store::AsyncStore> keeper_;     // the first to go
 };
 
 }  // namespace reeltack::fleet
--- a/src/standin/far_end.cpp
+++ b/src/standin/far_end.cpp
@@ -137,7 +137,7 @@
       } else if (const auto* n = std::get_if<circuits::Answered>(&a)) {
         ++counts_.answered_out;
         later(io_, holds_[n->call], [this, call = n->call] { hang_up(call, true); });
-      } else if (std::get_if<circuits::NotSent>(&a) != nullptr) {
+      } else if (std::get_if<circuits::SeizureLost>(&a) != nullptr) {
         ++counts_.not_sent;
       } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
         if (v->outgoing && !v->stood) ++counts_.ended_out;
--- a/src/store/call_watch.h
+++ b/src/store/call_watch.h
@@ -9,11 +9,11 @@
 
 namespace reeltack::store {
 
-class CallWatch {
+class DiskCallTimer {
  public:
   using Time = std::chrono::steady_clock::time_point;
   using Span = std::chrono::steady_clock::duration;
-  explicit CallWatch(Span hanging_after) : hanging_after_(hanging_after) {}
+  explicit DiskCallTimer(Span hang_threshold) : hanging_after_(hang_threshold) {}
 
   void begin(Time now) {
     since_ = now;
--- a/src/store/change_queue.cpp
+++ b/src/store/change_queue.cpp
@@ -8,7 +8,7 @@
 namespace reeltack::store {
 
 bool ChangeQueue::fits(const std::string& key, const std::optional<std::string>& value) const {
-  if (key.empty() || key.size() > kMostKey || (value && value->size() > kMostValue)) return false;
+  if (key.empty() || key.size() > kMaxKeyBytes || (value && value->size() > kMostValue)) return false;
   const auto old = waiting_.find(key);
   if (old == waiting_.end() && waiting() >= most_keys_) return false;
   const std::size_t freed = old == waiting_.end() ? 0 : size(key, old->second.value);
--- a/src/store/change_queue.h
+++ b/src/store/change_queue.h
@@ -24,8 +24,7 @@
 
 class ChangeQueue {
  public:
-  ChangeQueue(std::size_t most_bytes, std::size_t most_keys)
-      : most_bytes_(most_bytes), most_keys_(most_keys) {}
+  ChangeQueue(std::size_t most_bytes, std::size_t max_keys) : most_bytes_(most_bytes), most_keys_(max_keys) {}
 
   // The change's number, from 1 on and rising; 0 where it is refused.
   std::uint64_t put(const std::string& key, std::optional<std::string> value);
--- a/src/store/contents.cpp
+++ b/src/store/contents.cpp
@@ -16,7 +16,7 @@
 
 Written Contents::set_up() {
   if (const int rc = database.open(file, settings.vfs); rc != SQLITE_OK) return fail(rc);
-  database.tidy_at_close(false);
+  database.set_checkpoint_on_close(false);
   if (sqlite3_db_readonly(database.handle(), "main") == 1) return fail(Why::io, "is not writable");
   // The lock's order matters: exclusive before the log is first used keeps its index in this process's
   // memory.
@@ -65,7 +65,7 @@
   if (text != "ok") {
     const std::size_t at = text.find(kUnread);
     const Why why =
-        at == std::string::npos ? Why::none : why_of(std::atoi(text.c_str() + at + kUnread.size()));
+        at == std::string::npos ? Why::none : error_code_of(std::atoi(text.c_str() + at + kUnread.size()));
     return fail(why == Why::none ? Why::damaged : why, text);
   }
   Statement all;
@@ -107,8 +107,8 @@
   made = false;
   kept.clear();
   std::string unwritten;
-  if (const int rc = write_again(file, settings.vfs, unwritten); rc != SQLITE_OK)
-    return {why_of(rc), unwritten + ": cannot be written again and synced: " + sqlite3_errstr(rc)};
+  if (const int rc = rewrite_files(file, settings.vfs, unwritten); rc != SQLITE_OK)
+    return {error_code_of(rc), unwritten + ": cannot be written again and synced: " + sqlite3_errstr(rc)};
   Written done = set_up();
   if (!done.ok()) return done;
   std::int64_t id = 0, version = 0, pages = 0, tables = 0;
@@ -137,19 +137,19 @@
   }
   database_id = Folder(settings.dir, nullptr).id("store.db");
   log_id.reset();
-  database.tidy_at_close(true);
+  database.set_checkpoint_on_close(true);
   return {};
 }
 
 Written Contents::bound_log() {
-  if (Folder(settings.dir, nullptr).size("store.db-wal") < settings.most_log_bytes) return {};
+  if (Folder(settings.dir, nullptr).size("store.db-wal") < settings.max_log_bytes) return {};
   const int rc =
       sqlite3_wal_checkpoint_v2(database.handle(), nullptr, SQLITE_CHECKPOINT_TRUNCATE, nullptr, nullptr);
   return rc == SQLITE_OK ? Written{}
-                         : fail(why_of(rc), "its log cannot be carried over: " + database.error());
+                         : fail(error_code_of(rc), "its log cannot be carried over: " + database.error());
 }
 
-Written Contents::still_there() {
+Written Contents::verify_files() {
   const Folder folder(settings.dir, nullptr);
   const auto log = folder.id("store.db-wal");
   if (!log_id) log_id = log;
@@ -183,8 +183,8 @@
     fresh[key] = checksum_of(bytes);
   }
   Written done = rc == SQLITE_OK ? Written{} : fail(rc);
-  if (done.ok() && next.count > settings.most_records && next.count > seal.count) {
-    done = fail(Why::full, "over its bound of " + std::to_string(settings.most_records) + " records");
+  if (done.ok() && next.count > settings.max_records && next.count > seal.count) {
+    done = fail(Why::full, "over its bound of " + std::to_string(settings.max_records) + " records");
   }
   if (done.ok()) {
     const std::string bytes = sealed(next, at);
--- a/src/store/contents.h
+++ b/src/store/contents.h
@@ -30,7 +30,7 @@
   bool damaged = false;
 
   [[nodiscard]] Written fail(Why why, const std::string& text) const { return {why, file + ": " + text}; }
-  [[nodiscard]] Written fail(int result) const { return fail(why_of(result), database.error()); }
+  [[nodiscard]] Written fail(int result) const { return fail(error_code_of(result), database.error()); }
 
   // Opens the file and proves all that is in it; `made`: it was empty and is a store now.
   Written load(std::vector<Kept>& kept, bool& made);
@@ -40,7 +40,7 @@
   // A log that cannot be carried over (its disk writes, the file's does not) must not grow for ever.
   Written bound_log();
   // Whether what was written is where the next opening will look for it.
-  Written still_there();
+  Written verify_files();
   // One transaction, durable where ok(); keys and sizes are checked before.
   struct Moment {
     clocks::WallTime wall{};
--- a/src/store/disk_calls.cpp
+++ b/src/store/disk_calls.cpp
@@ -5,7 +5,7 @@
 
 using std::chrono::milliseconds;
 
-bool DiskCalls::make(const std::function<void()>& call) {
+bool DiskCallMonitor::make(const std::function<void()>& call) {
   {
     const std::lock_guard lock(mutex_);
     call_.begin(settings_.clock());
@@ -17,63 +17,63 @@
   if (given_up_) return false;
   const auto reported = call_.end(settings_.clock());
   lock.unlock();
-  if (reported) report(KeeperEvent::Kind::returned, *reported);
+  if (reported) report(AsyncStoreEvent::Kind::returned, *reported);
   return true;
 }
 
-void DiskCalls::watch() {
+void DiskCallMonitor::watch() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     call_began_.wait(lock, [this] { return stopping_ || call_.under_way(); });
     lock.unlock();
     look();
     lock.lock();
-    watch_ends_.wait_for(lock, settings_.look_every, [this] { return stopping_; });
+    watch_ends_.wait_for(lock, settings_.watch_interval, [this] { return stopping_; });
   }
 }
 
 // With `telling_` held throughout, the beginning is told before the end.
-void DiskCalls::look() {
+void DiskCallMonitor::look() {
   const std::lock_guard telling(telling_);
   std::unique_lock lock(mutex_);
   const auto now = settings_.clock();
   if (!call_.hangs(now)) return;
-  const CallWatch::Span lasted = call_.lasted(now);
+  const DiskCallTimer::Span lasted = call_.lasted(now);
   lock.unlock();
-  report(KeeperEvent::Kind::hanging, lasted);
+  report(AsyncStoreEvent::Kind::hanging, lasted);
 }
 
-void DiskCalls::stop_watching() {
+void DiskCallMonitor::stop_watching() {
   const std::lock_guard lock(mutex_);
   stopping_ = true;
   call_began_.notify_all();
   watch_ends_.notify_all();
 }
 
-bool DiskCalls::give_up() {
+bool DiskCallMonitor::give_up() {
   const std::lock_guard telling(telling_);
   std::unique_lock lock(mutex_);
   if (!call_.under_way()) return false;
   given_up_ = true;
-  const CallWatch::Span lasted = call_.lasted(settings_.clock());
+  const DiskCallTimer::Span lasted = call_.lasted(settings_.clock());
   lock.unlock();
-  report(KeeperEvent::Kind::unended, lasted);
+  report(AsyncStoreEvent::Kind::abandoned, lasted);
   return true;
 }
 
-void DiskCalls::tell(const KeeperEvent& event) {
+void DiskCallMonitor::tell(const AsyncStoreEvent& event) {
   const std::lock_guard telling(telling_);
   if (settings_.told) settings_.told(event);
 }
 
 // Called with `telling_` held.
-void DiskCalls::report(KeeperEvent::Kind kind, CallWatch::Span lasted) {
-  KeeperEvent event = make_event_(kind);
+void DiskCallMonitor::report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted) {
+  AsyncStoreEvent event = make_event_(kind);
   event.lasted = std::chrono::duration_cast<milliseconds>(lasted);
   if (settings_.told) settings_.told(event);
 }
 
-bool DiskCalls::hanging() const {
+bool DiskCallMonitor::hanging() const {
   const std::lock_guard lock(mutex_);
   return call_.reported();
 }
--- a/src/store/disk_calls.h
+++ b/src/store/disk_calls.h
@@ -18,13 +18,13 @@
 
 namespace reeltack::store {
 
-class DiskCalls {
+class DiskCallMonitor {
  public:
   // An event of that kind as things are now, but for the call's duration.
-  using MakeEvent = std::function<KeeperEvent(KeeperEvent::Kind)>;
+  using MakeEvent = std::function<AsyncStoreEvent(AsyncStoreEvent::Kind)>;
   // `settings` must outlive this.
-  DiskCalls(const KeeperSettings& settings, MakeEvent make_event)
-      : settings_(settings), make_event_(std::move(make_event)), call_(settings.hanging_after) {}
+  DiskCallMonitor(const AsyncStoreSettings& settings, MakeEvent make_event)
+      : settings_(settings), make_event_(std::move(make_event)), call_(settings.hang_threshold) {}
 
   // Makes the call. False where this thread was given up meanwhile: it must end, and use nothing of the
   // owner's.
@@ -33,19 +33,19 @@
   void stop_watching();
   // Gives the writing thread up, which is reported; false while it is in no call.
   [[nodiscard]] bool give_up();
-  void tell(const KeeperEvent& event);
+  void tell(const AsyncStoreEvent& event);
   [[nodiscard]] bool hanging() const;
 
  private:
   void look();
-  void report(KeeperEvent::Kind kind, CallWatch::Span lasted);
+  void report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted);
 
-  const KeeperSettings& settings_;
+  const AsyncStoreSettings& settings_;
   const MakeEvent make_event_;
   std::mutex telling_;  // taken before mutex_, and held while `told` runs
   mutable std::mutex mutex_;
   std::condition_variable call_began_, watch_ends_;
-  CallWatch call_;
+  DiskCallTimer call_;
   bool stopping_ = false;
   bool given_up_ = false;
 };
--- a/src/store/failure_report.h
+++ b/src/store/failure_report.h
@@ -12,19 +12,19 @@
 
 namespace reeltack::store {
 
-class FailureReport {
+class FailureReporter {
  public:
   using Time = base::Outage::Time;
-  FailureReport(std::chrono::milliseconds first_reminder, std::chrono::milliseconds last_reminder)
+  FailureReporter(std::chrono::milliseconds first_reminder, std::chrono::milliseconds last_reminder)
       : outage_(first_reminder, last_reminder) {}
 
   // As what this failure is reported: the first, a reminder, or damage that was not known of; or not at all.
-  std::optional<KeeperEvent::Kind> failed(Why why, Time now) {
+  std::optional<AsyncStoreEvent::Kind> failed(Why why, Time now) {
     const base::Outage::Report report = outage_.failed(now);
     const bool found_damaged = why == Why::damaged && last_why_ != Why::damaged;
     last_why_ = why;
-    if (report == base::Outage::Report::begun || found_damaged) return KeeperEvent::Kind::failed;
-    if (report == base::Outage::Report::lasting) return KeeperEvent::Kind::lasting;
+    if (report == base::Outage::Report::begun || found_damaged) return AsyncStoreEvent::Kind::failed;
+    if (report == base::Outage::Report::lasting) return AsyncStoreEvent::Kind::lasting;
     return std::nullopt;
   }
   void ended() {
@@ -33,8 +33,8 @@
   }
   [[nodiscard]] bool on() const { return outage_.on(); }
   // The event with the outage's duration and failures.
-  [[nodiscard]] KeeperEvent event(KeeperEvent::Kind kind, Time now) const {
-    KeeperEvent out;
+  [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind, Time now) const {
+    AsyncStoreEvent out;
     out.kind = kind;
     out.lasted = std::chrono::duration_cast<std::chrono::milliseconds>(outage_.lasted(now));
     out.failures = outage_.failures();
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -9,7 +9,7 @@
 
 namespace reeltack::store {
 
-Keeper::Keeper(StoreSettings store, Opened&& opened, KeeperSettings settings)
+AsyncStore::AsyncStore(StoreSettings store, Opened&& opened, AsyncStoreSettings settings)
     : writer_(std::make_shared<Writer>(std::move(store), std::move(opened), std::move(settings))),
       writing_([writer = writer_] { writer->run(); }) {
   std::string why;
@@ -18,9 +18,9 @@
   throw std::runtime_error(why);
 }
 
-Keeper::~Keeper() { end(); }
+AsyncStore::~AsyncStore() { end(); }
 
-void Keeper::end() {
+void AsyncStore::end() {
   const bool ended = writer_->stop();
   watching_.join();
   if (ended) {
@@ -31,16 +31,18 @@
   writing_.detach();
 }
 
-std::uint64_t Keeper::put(const std::string& key, std::string value) {
+std::uint64_t AsyncStore::put(const std::string& key, std::string value) {
   return writer_->put(key, std::move(value));
 }
-std::uint64_t Keeper::erase(const std::string& key) { return writer_->put(key, std::nullopt); }
-void Keeper::remember(const std::string& key, std::string value) { writer_->remember(key, std::move(value)); }
-std::uint64_t Keeper::kept() const { return writer_->kept(); }
-bool Keeper::is_durable(const std::string& key, std::uint64_t number) const {
+std::uint64_t AsyncStore::erase(const std::string& key) { return writer_->put(key, std::nullopt); }
+void AsyncStore::remember(const std::string& key, std::string value) {
+  writer_->remember(key, std::move(value));
+}
+std::uint64_t AsyncStore::kept() const { return writer_->kept(); }
+bool AsyncStore::is_durable(const std::string& key, std::uint64_t number) const {
   return writer_->is_durable(key, number);
 }
-bool Keeper::flush(std::chrono::milliseconds within) { return writer_->flush(within); }
-KeeperCounts Keeper::counts() const { return writer_->counts(); }
+bool AsyncStore::flush(std::chrono::milliseconds within) { return writer_->flush(within); }
+AsyncStoreCounts AsyncStore::counts() const { return writer_->counts(); }
 
 }  // namespace reeltack::store
--- a/src/store/keeper.h
+++ b/src/store/keeper.h
@@ -31,16 +31,17 @@
 
 class Writer;
 
-class Keeper {
+class AsyncStore {
  public:
   // Takes the store that open() gave, or none: then it opens one itself, the first time after `first_retry`.
   // Throws std::runtime_error where no thread can be had.
-  Keeper(StoreSettings store, Opened&& opened, KeeperSettings settings);
-  // Writes what waits, once, and closes the store. Where a call to the disk has not returned by `end_within`
-  // it is left to itself: its thread goes on alone, calls nobody, and ends with the call or the process.
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  AsyncStore(StoreSettings store, Opened&& opened, AsyncStoreSettings settings);
+  // Writes what waits, once, and closes the store. Where a call to the disk has not returned by
+  // `shutdown_timeout` it is left to itself: its thread goes on alone, calls nobody, and ends with the call
+  // or the process.
+  ~AsyncStore();
+  AsyncStore(const AsyncStore&) = delete;
+  AsyncStore& operator=(const AsyncStore&) = delete;
 
   // The number of the change, or 0 where it was refused (and the former value stays). Numbers rise; each
   // change up to kept() is durable, itself or by a newer one of its key. kept() falls where the store is
@@ -55,7 +56,7 @@
   // Waits until all that was taken before is durable; false where it is not by then. For the start and the
   // end of the program, never for the core.
   bool flush(std::chrono::milliseconds within);
-  [[nodiscard]] KeeperCounts counts() const;
+  [[nodiscard]] AsyncStoreCounts counts() const;
 
  private:
   void end();
--- a/src/store/keeper_types.cpp
+++ b/src/store/keeper_types.cpp
@@ -6,21 +6,21 @@
 namespace reeltack::store {
 namespace {
 
-std::string name_of(KeeperEvent::Kind kind) {
+std::string name_of(AsyncStoreEvent::Kind kind) {
   switch (kind) {
-    case KeeperEvent::Kind::failed:
+    case AsyncStoreEvent::Kind::failed:
       return "failing";
-    case KeeperEvent::Kind::lasting:
+    case AsyncStoreEvent::Kind::lasting:
       return "still_failing";
-    case KeeperEvent::Kind::written:
+    case AsyncStoreEvent::Kind::written:
       return "written_again";
-    case KeeperEvent::Kind::hanging:
+    case AsyncStoreEvent::Kind::hanging:
       return "hanging";
-    case KeeperEvent::Kind::returned:
+    case AsyncStoreEvent::Kind::returned:
       return "hanging_ended";
-    case KeeperEvent::Kind::unended:
+    case AsyncStoreEvent::Kind::abandoned:
       return "ended_unwritten";
-    case KeeperEvent::Kind::opened:
+    case AsyncStoreEvent::Kind::opened:
       break;
   }
   return "opened";
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-std::string to_text(const KeeperEvent& event) {
-  using Kind = KeeperEvent::Kind;
+std::string to_text(const AsyncStoreEvent& event) {
+  using Kind = AsyncStoreEvent::Kind;
   std::string out = "state=" + name_of(event.kind);
   if (event.kind == Kind::opened) out += " how=" + std::string(name(event.how));
   if (event.why != Why::none) out += " why=" + quoted(std::string(name(event.why)));
--- a/src/store/keeper_types.h
+++ b/src/store/keeper_types.h
@@ -13,7 +13,7 @@
 
 namespace reeltack::store {
 
-struct KeeperEvent {
+struct AsyncStoreEvent {
   enum class Kind {
     failed,    // a batch could not be written, or no store be opened; told once until the next `written`, and
                // again where the store is then found damaged
@@ -22,38 +22,39 @@
     opened,    // a store that was not to be had at the start, or was damaged, is open now
     hanging,   // a call to the disk has not returned; told once a call, from the watching thread
     returned,  // that call has returned
-    unended,   // the keeper ends while a call has not returned; what is not durable is given up
+    abandoned,  // the keeper ends while a call has not returned; what is not durable is given up
   } kind = Kind::failed;
   Why why = Why::none;                    // for failed and lasting
   Opened::How how = Opened::How::opened;  // for opened: after `fresh` and `set_aside` all is written again
   std::string text;                       // what failed; for opened: why it was set aside
   std::string aside;                      // for opened after `set_aside`: the file's new name
-  // Since the first failure; for hanging, returned and unended since the call began.
+  // Since the first failure; for hanging, returned and abandoned since the call began.
   std::chrono::milliseconds lasted{0};
   unsigned failures = 0;    // since the first failure
   std::size_t waiting = 0;  // changes that are not durable
 };
 // One line for a log: what is the case, since when and why, as key=value words.
-std::string to_text(const KeeperEvent& event);
+std::string to_text(const AsyncStoreEvent& event);
 
 inline constexpr unsigned kReopenAfter = 2;
 
-struct KeeperSettings {
+struct AsyncStoreSettings {
   // Keys and values waiting or being written; so many more are held to be written again.
   std::size_t most_bytes = std::size_t{4} << 20;
-  std::size_t most_keys = 4096;  // as above
+  std::size_t max_keys = 4096;  // as above
   std::chrono::milliseconds first_retry{1000};
   std::chrono::milliseconds last_retry{60000};
   // A failure that lasts is told again after this long, then after twice as long each time.
   std::chrono::milliseconds first_reminder{60000};
   std::chrono::milliseconds last_reminder{3600000};
-  // A call to the disk that lasts longer, by `clock`, is reported as hanging; looked at each `look_every`.
-  std::chrono::milliseconds hanging_after{5000};
-  std::chrono::milliseconds look_every{1000};
+  // A call to the disk that lasts longer, by `clock`, is reported as hanging; looked at each
+  // `watch_interval`.
+  std::chrono::milliseconds hang_threshold{5000};
+  std::chrono::milliseconds watch_interval{1000};
   // The destructor waits so long for the last batch and the closing; then it ends without them where a call
   // has not returned.
-  std::chrono::milliseconds end_within{5000};
-  std::function<void(const KeeperEvent&)> told;  // may be empty
+  std::chrono::milliseconds shutdown_timeout{5000};
+  std::function<void(const AsyncStoreEvent&)> told;  // may be empty
   // Where no store was given and one could be opened later: what is in it, before anything is written over
   // it.
   std::function<void(const std::vector<Kept>&)> found;  // may be empty
@@ -62,7 +63,7 @@
   };
 };
 
-struct KeeperCounts {
+struct AsyncStoreCounts {
   std::uint64_t taken = 0;      // puts and erases taken
   std::uint64_t coalesced = 0;  // of them, those that took the place of one that was waiting
   std::uint64_t refused = 0;    // by size, bytes or keys
--- a/src/store/lock.cpp
+++ b/src/store/lock.cpp
@@ -48,7 +48,7 @@
   return Got::held;
 }
 
-Lock::Got Lock::take_unwritten(const std::string& file, std::string& why) {
+Lock::Got Lock::acquire_read_only(const std::string& file, std::string& why) {
   return open_and_lock(file, O_RDONLY, why);
 }
 
--- a/src/store/lock.h
+++ b/src/store/lock.h
@@ -19,7 +19,7 @@
   // `why` says what went wrong: for `disputed` it names the file and the pid that has it.
   Got take(const std::string& file, std::string& why);
   // The same where the file cannot be written: nothing is made and no pid is left in it.
-  Got take_unwritten(const std::string& file, std::string& why);
+  Got acquire_read_only(const std::string& file, std::string& why);
 
  private:
   Got open_and_lock(const std::string& file, int flags, std::string& why);
--- a/src/store/read_only.cpp
+++ b/src/store/read_only.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 Written copy_files(const StoreSettings& settings, const std::string& file, MemoryCopy& copy) {
-  const std::uint64_t most = settings.most_bytes + 2 * settings.most_log_bytes;
+  const std::uint64_t most = settings.most_bytes + 2 * settings.max_log_bytes;
   std::string failed;
   if (const int rc = copy.read(file, settings.vfs, most, failed); rc != SQLITE_OK)
-    return {why_of(rc), failed + ": cannot be read: " + sqlite3_errstr(rc)};
+    return {error_code_of(rc), failed + ": cannot be read: " + sqlite3_errstr(rc)};
   if (copy.size(file) < kPage && copy.size(file + "-journal") == 0)
     return {Why::io, file + ": there is nothing to be read"};
   return {};
@@ -39,7 +39,7 @@
   if (opened.how != Opened::How::failed || !opened.where.empty()) return opened;
   Lock lock;
   std::string locked;
-  if (lock.take_unwritten(settings.dir + "/store.lock", locked) == Lock::Got::disputed) {
+  if (lock.acquire_read_only(settings.dir + "/store.lock", locked) == Lock::Got::disputed) {
     opened.why += "; " + locked;
     return opened;
   }
--- a/src/store/record_bound.cpp
+++ b/src/store/record_bound.cpp
@@ -5,12 +5,12 @@
 
 namespace reeltack::store {
 
-Division divide(std::vector<Change> changes, const RecordBound& bound) {
+BatchSplit divide(std::vector<Change> changes, const RecordBound& bound) {
   const auto erases = [&bound](const Change& change) { return !change.value && bound.is_stored(change.key); };
   const auto erased = static_cast<std::size_t>(std::count_if(changes.begin(), changes.end(), erases));
   const std::size_t stays = bound.stored - erased;
   std::size_t room = bound.most > stays ? bound.most - stays : 0;
-  Division out;
+  BatchSplit out;
   for (Change& change : changes) {
     const bool is_new = change.value && !bound.is_stored(change.key);
     if (is_new && room == 0) {
--- a/src/store/record_bound.h
+++ b/src/store/record_bound.h
@@ -21,6 +21,6 @@
 // Overwrites and erasures always fit, and an erasure makes room for a new key of the same batch, for they are
 // written as one. New keys take what room there is in their order; the others are left over. Each key is in
 // `changes` at most once; both parts keep the order.
-Division divide(std::vector<Change> changes, const RecordBound& bound);
+BatchSplit divide(std::vector<Change> changes, const RecordBound& bound);
 
 }  // namespace reeltack::store
--- a/src/store/sqlite.cpp
+++ b/src/store/sqlite.cpp
@@ -44,7 +44,7 @@
   handle_ = nullptr;
 }
 
-void Database::tidy_at_close(bool yes) {
+void Database::set_checkpoint_on_close(bool yes) {
   if (handle_ != nullptr) sqlite3_db_config(handle_, SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, yes ? 0 : 1, nullptr);
 }
 
@@ -71,7 +71,7 @@
   return first_row(sql, [&value](const Statement& row) { value = row.blob(0); });
 }
 
-Why why_of(int result) {
+Why error_code_of(int result) {
   switch (result & 0xff) {
     case SQLITE_OK:
     case SQLITE_ROW:
--- a/src/store/sqlite.h
+++ b/src/store/sqlite.h
@@ -45,7 +45,7 @@
   int open(const std::string& file, const std::string& vfs);
   void close();
   // Whether the log is carried over into the file at the end and removed, or both are left as they are.
-  void tidy_at_close(bool yes);
+  void set_checkpoint_on_close(bool yes);
   int run(const std::string& sql);
   int number(const std::string& sql, std::int64_t& value);  // SQLITE_NOTFOUND where there is no row
   int text(const std::string& sql, std::string& value);     // as above
@@ -58,6 +58,6 @@
   sqlite3* handle_ = nullptr;
 };
 
-Why why_of(int result);
+Why error_code_of(int result);
 
 }  // namespace reeltack::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -114,9 +114,9 @@
   return out;
 }
 
-Division Store::divide(std::vector<Change> changes) const {
+BatchSplit Store::divide(std::vector<Change> changes) const {
   const auto& sums = inside_->sums;
-  return store::divide(std::move(changes), {sums.size(), inside_->settings.most_records,
+  return store::divide(std::move(changes), {sums.size(), inside_->settings.max_records,
                                             [&sums](const std::string& key) { return sums.contains(key); }});
 }
 
@@ -126,19 +126,19 @@
   if (in.damaged) return in.fail(Why::damaged, "was found damaged; open it anew");
   std::map<std::string_view, const Change*> last;
   for (const Change& c : changes) {
-    if (c.key.empty() || c.key.size() > kMostKey || (c.value && c.value->size() > kMostValue)) {
-      return in.fail(Why::too_big, "key '" + c.key.substr(0, kMostKey) + "': 1 to " +
-                                       std::to_string(kMostKey) + " bytes and a value of at most " +
+    if (c.key.empty() || c.key.size() > kMaxKeyBytes || (c.value && c.value->size() > kMostValue)) {
+      return in.fail(Why::too_big, "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " +
+                                       std::to_string(kMaxKeyBytes) + " bytes and a value of at most " +
                                        std::to_string(kMostValue));
     }
     last[c.key] = &c;
   }
   Written done = in.bound_log();
   if (done.ok()) done = in.apply(last, {written_at, written_since_boot});
-  if (done.ok()) done = in.still_there();
+  if (done.ok()) done = in.verify_files();
   if (done.why == Why::damaged) {
     in.damaged = true;
-    in.database.tidy_at_close(false);
+    in.database.set_checkpoint_on_close(false);
   }
   return done;
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -29,19 +29,19 @@
 
 namespace reeltack::store {
 
-inline constexpr std::size_t kMostKey = 128;                        // bytes; at least 1
+inline constexpr std::size_t kMaxKeyBytes = 128;                    // bytes; at least 1
 inline constexpr std::size_t kMostValue = std::size_t{256} * 1024;  // bytes
 inline constexpr std::size_t kMostName = 64;                        // bytes of a fleet's or owner's name
 
 struct StoreSettings {
-  std::string dir;                                     // made where it is missing (its parent must be there)
-  std::string fleet;                                   // stands beside each record written
-  std::string owner;                                   // this controller's name; a copied file tells by it
-  std::uint16_t format = 1;                            // of the values, as the writer understands them
-  std::size_t most_bytes = std::size_t{64} << 20;      // of store.db; beyond it a write is `full`
-  std::size_t most_records = 4096;                     // beyond it a write is `full`
-  int checkpoint_pages = 256;                          // of 4 KiB: the log is carried over from this size on
-  std::size_t most_log_bytes = std::size_t{16} << 20;  // a log that cannot be carried over grows to this
+  std::string dir;                                    // made where it is missing (its parent must be there)
+  std::string fleet;                                  // stands beside each record written
+  std::string owner;                                  // this controller's name; a copied file tells by it
+  std::uint16_t format = 1;                           // of the values, as the writer understands them
+  std::size_t most_bytes = std::size_t{64} << 20;     // of store.db; beyond it a write is `full`
+  std::size_t max_records = 4096;                     // beyond it a write is `full`
+  int checkpoint_pages = 256;                         // of 4 KiB: the log is carried over from this size on
+  std::size_t max_log_bytes = std::size_t{16} << 20;  // a log that cannot be carried over grows to this
   std::string vfs;           // for tests: the name of an SQLite VFS; else the system's
   Faults* faults = nullptr;  // for tests: outlives the store
 };
@@ -53,7 +53,7 @@
 };
 
 // A batch in two parts: what the store's bound on records lets in, and what it does not.
-struct Division {
+struct BatchSplit {
   std::vector<Change> fits;
   std::vector<Change> left;
 };
@@ -103,8 +103,8 @@
   Written write(const std::vector<Change>& changes, clocks::WallTime written_at,
                 const clocks::BootTime& written_since_boot = {});
 
-  // What of a batch write() would not refuse as beyond `most_records`; see store/record_bound.h.
-  [[nodiscard]] Division divide(std::vector<Change> changes) const;
+  // What of a batch write() would not refuse as beyond `max_records`; see store/record_bound.h.
+  [[nodiscard]] BatchSplit divide(std::vector<Change> changes) const;
 
   [[nodiscard]] const std::string& file() const;
   [[nodiscard]] std::uint64_t generation() const;  // batches ever written to this file
--- a/src/store/write_again.cpp
+++ b/src/store/write_again.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-int write_again(const std::string& database_file, const std::string& vfs, std::string& failed) {
+int rewrite_files(const std::string& database_file, const std::string& vfs, std::string& failed) {
   if (const int rc = sqlite3_initialize(); rc != SQLITE_OK) return rc;
   sqlite3_vfs* found = sqlite3_vfs_find(vfs.empty() ? nullptr : vfs.c_str());
   if (found == nullptr) return SQLITE_CANTOPEN;
--- a/src/store/write_again.h
+++ b/src/store/write_again.h
@@ -15,6 +15,6 @@
 
 // SQLITE_OK, or the engine's result; `failed` is then the file. Through the engine's VFS of that name (empty:
 // the system's), so that a test reaches each step.
-int write_again(const std::string& database_file, const std::string& vfs, std::string& failed);
+int rewrite_files(const std::string& database_file, const std::string& vfs, std::string& failed);
 
 }  // namespace reeltack::store
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -20,15 +20,15 @@
 
 }  // namespace
 
-Writer::Writer(StoreSettings store, Opened&& opened, KeeperSettings settings)
+Writer::Writer(StoreSettings store, Opened&& opened, AsyncStoreSettings settings)
     : store_settings_(std::move(store)),
       settings_(std::move(settings)),
       store_(std::move(opened.store)),
       looked_(store_ != nullptr),
       no_store_(no_store(opened)),
-      queue_(settings_.most_bytes, settings_.most_keys),
+      queue_(settings_.most_bytes, settings_.max_keys),
       report_(settings_.first_reminder, settings_.last_reminder),
-      calls_(settings_, [this](KeeperEvent::Kind kind) {
+      calls_(settings_, [this](AsyncStoreEvent::Kind kind) {
         const std::lock_guard lock(mutex_);
         return event(kind);
       }) {}
@@ -97,7 +97,7 @@
   const bool news = opened.how != Opened::How::opened || !opening_told_;
   opening_told_ = true;
   if (!news) return;
-  KeeperEvent event = this->event(KeeperEvent::Kind::opened);
+  AsyncStoreEvent event = this->event(AsyncStoreEvent::Kind::opened);
   lock.unlock();
   event.how = opened.how;
   event.text = opened.why;
@@ -110,7 +110,7 @@
   std::vector<Change> batch = queue_.take_batch();
   lock.unlock();
   if (batch.empty()) return Outcome::done;
-  Division parts = store_->divide(std::move(batch));
+  BatchSplit parts = store_->divide(std::move(batch));
   Written written;
   const bool returned = calls_.make([&] {
     if (!parts.fits.empty()) written = store_->write(parts.fits, base::wall_now(), base::boot_now());
@@ -123,8 +123,8 @@
 
 // What is left over by the store's bound waits for another change, not for a time: only an erasure makes
 // room.
-Writer::Outcome Writer::after_writing(const Written& written, Division&& parts) {
-  std::optional<KeeperEvent> news;
+Writer::Outcome Writer::after_writing(const Written& written, BatchSplit&& parts) {
+  std::optional<AsyncStoreEvent> news;
   std::unique_lock lock(mutex_);
   if (!written.ok()) {
     if (written.why == Why::damaged) queue_.lose();
@@ -145,38 +145,38 @@
 }
 
 std::string Writer::over_bound() const {
-  return store_->file() + ": over its bound of " + std::to_string(store_settings_.most_records) + " records";
+  return store_->file() + ": over its bound of " + std::to_string(store_settings_.max_records) + " records";
 }
 
 // Called with the lock held. What is to be told of this failure, if anything.
-std::optional<KeeperEvent> Writer::failed(Why why, const std::string& text) {
+std::optional<AsyncStoreEvent> Writer::failed(Why why, const std::string& text) {
   ++counts_.failures;
   counts_.failing = true;
   const auto kind = report_.failed(why, settings_.clock());
   if (!kind) return std::nullopt;
-  KeeperEvent out = event(*kind);
+  AsyncStoreEvent out = event(*kind);
   out.why = why;
   out.text = text;
   return out;
 }
 
 // Called with the lock held: all that was taken out of the queue is durable.
-std::optional<KeeperEvent> Writer::recovered() {
-  std::optional<KeeperEvent> news;
-  if (report_.on()) news = event(KeeperEvent::Kind::written);
+std::optional<AsyncStoreEvent> Writer::recovered() {
+  std::optional<AsyncStoreEvent> news;
+  if (report_.on()) news = event(AsyncStoreEvent::Kind::written);
   counts_.failing = false;
   opening_told_ = false;
   report_.ended();
   return news;
 }
 
-void Writer::tell(const std::optional<KeeperEvent>& event) {
+void Writer::tell(const std::optional<AsyncStoreEvent>& event) {
   if (event) calls_.tell(*event);
 }
 
 // Called with the lock held.
-KeeperEvent Writer::event(KeeperEvent::Kind kind) const {
-  KeeperEvent out = report_.event(kind, settings_.clock());
+AsyncStoreEvent Writer::event(AsyncStoreEvent::Kind kind) const {
+  AsyncStoreEvent out = report_.event(kind, settings_.clock());
   out.waiting = queue_.waiting();
   return out;
 }
@@ -186,7 +186,7 @@
   std::unique_lock lock(mutex_);
   stopping_ = true;
   work_.notify_all();
-  if (ended_.wait_for(lock, settings_.end_within, [this] { return run_ended_; })) return true;
+  if (ended_.wait_for(lock, settings_.shutdown_timeout, [this] { return run_ended_; })) return true;
   // Between two calls it is soon in the next one, or through.
   while (!run_ended_) {
     lock.unlock();
@@ -234,10 +234,10 @@
   return done_.wait_for(lock, within, [&] { return queue_.kept() >= number; });
 }
 
-KeeperCounts Writer::counts() const {
+AsyncStoreCounts Writer::counts() const {
   const std::lock_guard lock(mutex_);
   const QueueCounts& queue = queue_.counts();
-  KeeperCounts out = counts_;
+  AsyncStoreCounts out = counts_;
   out.taken = queue.taken;
   out.coalesced = queue.coalesced;
   out.refused = queue.refused;
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -24,11 +24,11 @@
 
 class Writer {
  public:
-  Writer(StoreSettings store, Opened&& opened, KeeperSettings settings);
+  Writer(StoreSettings store, Opened&& opened, AsyncStoreSettings settings);
 
   void run();  // until stop(): writes what waits, once more at the end, and closes the store
   void watch() { calls_.watch(); }  // until stop()
-  // Ends both; false where a call to the disk has not returned within `end_within`. Once.
+  // Ends both; false where a call to the disk has not returned within `shutdown_timeout`. Once.
   [[nodiscard]] bool stop();
   // After a stop() that was false, once watch() has returned: run() has no more use for the owner's
   // functions.
@@ -39,7 +39,7 @@
   [[nodiscard]] std::uint64_t kept() const;
   [[nodiscard]] bool is_durable(const std::string& key, std::uint64_t number) const;
   bool flush(std::chrono::milliseconds within);
-  [[nodiscard]] KeeperCounts counts() const;
+  [[nodiscard]] AsyncStoreCounts counts() const;
 
  private:
   enum class Outcome { done, failed, given_up };
@@ -48,15 +48,15 @@
   Outcome open_store();
   Outcome write_batch();
   void after_opening(const Opened& opened);
-  Outcome after_writing(const Written& written, Division&& parts);
+  Outcome after_writing(const Written& written, BatchSplit&& parts);
   [[nodiscard]] std::string over_bound() const;
-  std::optional<KeeperEvent> failed(Why why, const std::string& text);
-  std::optional<KeeperEvent> recovered();
-  void tell(const std::optional<KeeperEvent>& event);
-  [[nodiscard]] KeeperEvent event(KeeperEvent::Kind kind) const;
+  std::optional<AsyncStoreEvent> failed(Why why, const std::string& text);
+  std::optional<AsyncStoreEvent> recovered();
+  void tell(const std::optional<AsyncStoreEvent>& event);
+  [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind) const;
 
   const StoreSettings store_settings_;
-  KeeperSettings settings_;       // its functions are dropped where stop() gives run() up
+  AsyncStoreSettings settings_;   // its functions are dropped where stop() gives run() up
   std::unique_ptr<Store> store_;  // the writing thread's alone, as the next four
   bool looked_ = false;           // the store has been opened in this life
   bool opening_told_ = false;     // in this outage
@@ -66,11 +66,11 @@
   mutable std::mutex mutex_;
   std::condition_variable work_, done_, ended_;
   ChangeQueue queue_;
-  KeeperCounts counts_;  // but for those of the queue
+  AsyncStoreCounts counts_;  // but for those of the queue
   bool stopping_ = false;
   bool run_ended_ = false;
-  FailureReport report_;
-  DiskCalls calls_;  // its lock is taken after mutex_
+  FailureReporter report_;
+  DiskCallMonitor calls_;  // its lock is taken after mutex_
 };
 
 }  // namespace reeltack::store
--- a/src/trunk/codec.cpp
+++ b/src/trunk/codec.cpp
@@ -40,7 +40,7 @@
   for (const wire::Word& w : s.words()) {
     if (w.state() > 3) throw CodecError("a circuit in the unknown state " + std::to_string(w.state()));
     m.words.push_back(
-        {static_cast<circuits::CircuitWord::State>(w.state()), w.standing(), w.heard(), w.call()});
+        {static_cast<circuits::CircuitStatus::State>(w.state()), w.standing(), w.heard(), w.call()});
   }
   return m;
 }
@@ -72,7 +72,7 @@
   out.set_sequence(m.sequence);
   out.set_heard(m.heard);
   out.set_token(m.token);
-  for (const circuits::CircuitWord& w : m.words) {
+  for (const circuits::CircuitStatus& w : m.words) {
     wire::Word& word = *out.add_words();
     word.set_state(static_cast<std::uint32_t>(w.state));
     word.set_standing(w.standing);
--- a/src/trunk/group_actions.cpp
+++ b/src/trunk/group_actions.cpp
@@ -23,7 +23,7 @@
     } else if (const auto* n = std::get_if<circuits::Answered>(&a)) {
       attempts_.erase(CallId{n->call});
       core_.answered(settings_.office, CallId{n->call}, from == nullptr ? std::string() : from->description);
-    } else if (const auto* x = std::get_if<circuits::NotSent>(&a)) {
+    } else if (const auto* x = std::get_if<circuits::SeizureLost>(&a)) {
       const auto out = attempts_.extract(CallId{x->call});
       if (out) core_.attempt_failed(CallId{x->call}, out.mapped(), AttemptOutcome::not_sent);
     } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
--- a/tests/circuits/audit_test.cpp
+++ b/tests/circuits/audit_test.cpp
@@ -33,8 +33,8 @@
       most = std::max<std::size_t>(most, w.ends[1 - end].counts().freed - before);
       before = w.ends[1 - end].counts().freed;
     }
-    EXPECT_LE(w.now - back, settle_bound(w.settings[0]));
-    EXPECT_LT(settle_bound(w.settings[0]), 10s);
+    EXPECT_LE(w.now - back, max_settle_time(w.settings[0]));
+    EXPECT_LT(max_settle_time(w.settings[0]), 10s);
     EXPECT_LE(most, w.settings[0].settle_batch);
     w.quiet(2s);
     EXPECT_EQ(w.calls[1 - end][7001], Fate::stands);
--- a/tests/circuits/connected_ends.h
+++ b/tests/circuits/connected_ends.h
@@ -26,6 +26,6 @@
 inline constexpr std::size_t kLow = 1;
 
 // By when a stuck circuit must be free again, with a margin for messages on their way.
-inline Duration bound(const Ends& w) { return settle_bound(w.settings[0]) + std::chrono::seconds(1); }
+inline Duration bound(const Ends& w) { return max_settle_time(w.settings[0]) + std::chrono::seconds(1); }
 
 }  // namespace reeltack::circuits::test
--- a/tests/circuits/model_test.cpp
+++ b/tests/circuits/model_test.cpp
@@ -71,7 +71,7 @@
       // Left in peace from here: what was in work is finished by nobody, and yet nothing may stay stuck.
       TwoEnds<G> rest = to.world;
       if (!rest.up) rest.connect();
-      rest.quiet(settle_bound(rest.settings[0]) + std::chrono::seconds(2));
+      rest.quiet(max_settle_time(rest.settings[0]) + std::chrono::seconds(2));
       rest.settled();
       next.push_back(std::move(to));
     } catch (const std::logic_error& error) {
@@ -131,7 +131,7 @@
         for (const std::uint64_t v : {std::uint64_t{m.cic}, std::uint64_t{m.count}, m.call,
                                       std::uint64_t{m.sequence}, std::uint64_t{m.heard}})
           out += static_cast<char>(v);
-        for (const CircuitWord& word : m.words) {
+        for (const CircuitStatus& word : m.words) {
           out += static_cast<char>(word.state);
           out += static_cast<char>(word.heard);
           out += static_cast<char>(word.call);
--- a/tests/circuits/two_ends.h
+++ b/tests/circuits/two_ends.h
@@ -61,7 +61,7 @@
         if (f != Fate::out) wrong("an answer for a call that awaits none");
         f = Fate::stands;
         ++answered;
-      } else if (const auto* x = std::get_if<NotSent>(&a)) {
+      } else if (const auto* x = std::get_if<SeizureLost>(&a)) {
         Fate& f = calls[end][x->call];
         if (f != Fate::out) wrong("'not sent' for a call that was not out");
         f = Fate::over;
@@ -158,10 +158,10 @@
       using S = Group::State;
       const S a = ends[0].state(cic);
       const S b = ends[1].state(cic);
-      const bool same = (a == S::idle && b == S::idle) || (a == S::standing_out && b == S::standing_in) ||
-                        (a == S::standing_in && b == S::standing_out) ||
-                        (a == S::seized_out && b == S::seized_in) ||
-                        (a == S::seized_in && b == S::seized_out);
+      const bool same =
+          (a == S::idle && b == S::idle) || (a == S::established_out && b == S::established_in) ||
+          (a == S::established_in && b == S::established_out) || (a == S::seized_out && b == S::seized_in) ||
+          (a == S::seized_in && b == S::seized_out);
       if (!same || ends[0].call_on(cic) != ends[1].call_on(cic))
         wrong("circuit " + std::to_string(cic) + " is stuck: " + ends[0].describe(cic) + " and " +
               ends[1].describe(cic));
@@ -178,7 +178,7 @@
   void one_call_a_circuit() const {
     for (Cic cic = 0; cic < settings[0].size; ++cic) {
       const auto standing = [cic](const G& g) {
-        return g.state(cic) == Group::State::standing_out || g.state(cic) == Group::State::standing_in;
+        return g.state(cic) == Group::State::established_out || g.state(cic) == Group::State::established_in;
       };
       if (standing(ends[0]) && standing(ends[1]) && ends[0].call_on(cic) != ends[1].call_on(cic) &&
           !cut_is_fair)
--- a/tests/circuits/wire_test.cpp
+++ b/tests/circuits/wire_test.cpp
@@ -87,7 +87,7 @@
   refused({.kind = Kind::cqm, .cic = 1, .count = 0xffffffffU});                  // ... that wraps round
   refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 7});              // out of order
   refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 1, .heard = 5});  // heard what was not said
-  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .words = std::vector<CircuitWord>(1)});
+  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .words = std::vector<CircuitStatus>(1)});
   refused({.kind = Kind::blo, .cic = 0, .count = 0});
   // An id that is in use already is turned away on its circuit; the first one goes on.
   GroupActions actions;
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -90,7 +90,7 @@
   {
     store::Opened opened = store::Store::open(where);
     std::vector<store::Change> records{{std::string(kIncarnationKey), "1"}, {drift::kVoteRecord, ""}};
-    while (records.size() < where.most_records) records.push_back({std::to_string(records.size()), "1"});
+    while (records.size() < where.max_records) records.push_back({std::to_string(records.size()), "1"});
     ASSERT_TRUE(opened.store->write(records, clocks::WallTime{}).ok());
   }
   const auto keeping = disk.start();
--- a/tests/store/folder_test.cpp
+++ b/tests/store/folder_test.cpp
@@ -67,14 +67,14 @@
 TEST(StoreFolder, BoundsAreToldAndChangeNothing) {
   const TempDir temp;
   StoreSettings s = settings(temp / "s");
-  s.most_records = 2;
+  s.max_records = 2;
   s.most_bytes = 1 << 20;
   Opened o = Store::open(s);
   EXPECT_EQ(o.store->write({{"", "x"}}, WallTime{}).why, Why::too_big);
-  EXPECT_EQ(o.store->write({{std::string(kMostKey + 1, 'k'), "x"}}, WallTime{}).why, Why::too_big);
+  EXPECT_EQ(o.store->write({{std::string(kMaxKeyBytes + 1, 'k'), "x"}}, WallTime{}).why, Why::too_big);
   EXPECT_EQ(o.store->write({{"k", std::string(kMostValue + 1, 'x')}}, WallTime{}).why, Why::too_big);
   EXPECT_TRUE(
-      o.store->write({{std::string(kMostKey, 'k'), value(1, kMostValue)}, {"b", "1"}}, WallTime{}).ok());
+      o.store->write({{std::string(kMaxKeyBytes, 'k'), value(1, kMostValue)}, {"b", "1"}}, WallTime{}).ok());
   EXPECT_EQ(o.store->write({{"c", "1"}}, WallTime{}).why, Why::full);
   EXPECT_TRUE(o.store->write({{"c", "1"}, {"b", std::nullopt}}, WallTime{}).ok());
   o.store.reset();
--- a/tests/store/hanging_disk_test.cpp
+++ b/tests/store/hanging_disk_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Kind = KeeperEvent::Kind;
+using Kind = AsyncStoreEvent::Kind;
 using Clock = std::chrono::steady_clock;
 
 // A keeper's disk with a gate before each call, and a clock that the test sets.
@@ -21,7 +21,7 @@
   std::atomic<int> seconds{1000};
   std::atomic<int> clock_readings{0};
   HangingCase() {
-    keeper.look_every = 1ms;
+    keeper.watch_interval = 1ms;
     keeper.clock = [this] {
       ++clock_readings;
       return Clock::time_point(std::chrono::seconds(seconds.load()));
@@ -40,9 +40,9 @@
   }
 };
 
-TEST(CallWatch, ACallIsReportedOnceWhenItHasLastedLongEnoughAndAtItsEnd) {
+TEST(DiskCallTimer, ACallIsReportedOnceWhenItHasLastedLongEnoughAndAtItsEnd) {
   const Clock::time_point start(1000s);
-  CallWatch watch(5s);
+  DiskCallTimer watch(5s);
   EXPECT_FALSE(watch.hangs(start + 10s)) << "no call is under way";
   watch.begin(start);
   EXPECT_FALSE(watch.hangs(start + 4999ms));
@@ -59,7 +59,7 @@
   HangingCase c;
   Opened opened = Store::open(c.store);
   c.hang_at_each_call();
-  Keeper keeper(c.store, std::move(opened), c.keeper);
+  AsyncStore keeper(c.store, std::move(opened), c.keeper);
   keeper.put("a", "1");
   ASSERT_TRUE(keeper.flush(kLong));
   const std::uint64_t kept = keeper.kept();
@@ -67,7 +67,7 @@
   const std::uint64_t in_hand = keeper.put("a", "2");
   ASSERT_TRUE(c.gate.is_met());
   c.seconds += 5;
-  const KeeperEvent hanging = c.expect(Kind::hanging);
+  const AsyncStoreEvent hanging = c.expect(Kind::hanging);
   EXPECT_EQ(hanging.lasted, 5s);
   EXPECT_EQ(hanging.waiting, 1u);
   EXPECT_EQ(to_text(hanging), "state=hanging lasted_ms=5000 failures=0 not_durable=1");
@@ -80,7 +80,7 @@
   EXPECT_TRUE(keeper.counts().failing);
   c.seconds += 3;
   c.gate.open();
-  const KeeperEvent returned = c.expect(Kind::returned);
+  const AsyncStoreEvent returned = c.expect(Kind::returned);
   EXPECT_EQ(returned.lasted, 8s);
   EXPECT_EQ(to_text(returned).find("state=hanging_ended lasted_ms=8000 "), 0u) << to_text(returned);
   ASSERT_TRUE(keeper.flush(kLong));
@@ -96,7 +96,7 @@
   ASSERT_EQ(failed.how, How::failed);
   c.hang_at_each_call();
   c.gate.close();
-  Keeper keeper(c.store, std::move(failed), c.keeper);
+  AsyncStore keeper(c.store, std::move(failed), c.keeper);
   const std::uint64_t number = keeper.put("a", "1");
   ASSERT_TRUE(c.gate.is_met());
   c.seconds += 5;
@@ -121,7 +121,7 @@
     return SQLITE_OK;
   };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     for (int i = 1; i <= kBatches; ++i) {
       std::uint64_t last = 0;
       for (const Change& change : batch(i))
@@ -165,14 +165,14 @@
 void end_while_hanging(const std::string& call, const std::string& file) {
   SCOPED_TRACE(call + " of " + file);
   HangingCase c;
-  c.keeper.end_within = 1ms;
+  c.keeper.shutdown_timeout = 1ms;
   Opened opened = Store::open(c.store);
   std::atomic<bool> hangs{false};
   c.vfs.hook = [&](const FileStep& step) {
     if (hangs && step.before && step.what == call && step.file == c.store.dir + file) c.gate.pass();
     return SQLITE_OK;
   };
-  auto keeper = std::make_unique<Keeper>(c.store, std::move(opened), c.keeper);
+  auto keeper = std::make_unique<AsyncStore>(c.store, std::move(opened), c.keeper);
   keeper->put("a", "1");
   ASSERT_TRUE(keeper->flush(kLong));
   hangs = true;
@@ -182,8 +182,8 @@
   const bool in_time = ended.wait_for(kLong) == std::future_status::ready;
   EXPECT_TRUE(in_time) << "the end waits for a call that does not return";
   if (in_time) {
-    const KeeperEvent unended = c.expect(Kind::unended);
-    EXPECT_EQ(to_text(unended).find("state=ended_unwritten lasted_ms=0 "), 0u) << to_text(unended);
+    const AsyncStoreEvent abandoned = c.expect(Kind::abandoned);
+    EXPECT_EQ(to_text(abandoned).find("state=ended_unwritten lasted_ms=0 "), 0u) << to_text(abandoned);
     copy_folder(c.store.dir, c.temp / "copy");
     StoreSettings copy = settings(c.temp / "copy");
     EXPECT_EQ(state_of(Store::open(copy)).at("a"), "1") << "what was durable is not";
--- a/tests/store/heard.h
+++ b/tests/store/heard.h
@@ -16,40 +16,40 @@
 // The keeper's events, to be waited for.
 class Heard {
  public:
-  void operator()(const KeeperEvent& e) {
+  void operator()(const AsyncStoreEvent& e) {
     const std::lock_guard lock(mutex_);
     events_.push_back(e);
     more_.notify_all();
   }
   // The first event of that kind; whether there was one is told by `found`.
-  KeeperEvent wait(KeeperEvent::Kind kind, bool& found) {
+  AsyncStoreEvent wait(AsyncStoreEvent::Kind kind, bool& found) {
     std::unique_lock lock(mutex_);
-    KeeperEvent out;
+    AsyncStoreEvent out;
     found = more_.wait_for(lock, kLong, [&] {
-      for (const KeeperEvent& e : events_) {
+      for (const AsyncStoreEvent& e : events_) {
         if (e.kind == kind) return out = e, true;
       }
       return false;
     });
     return out;
   }
-  std::size_t count(KeeperEvent::Kind kind) {
+  std::size_t count(AsyncStoreEvent::Kind kind) {
     const std::lock_guard lock(mutex_);
     std::size_t n = 0;
-    for (const KeeperEvent& e : events_) n += e.kind == kind ? 1 : 0;
+    for (const AsyncStoreEvent& e : events_) n += e.kind == kind ? 1 : 0;
     return n;
   }
   std::string text() {  // one line an event, for a failure's message
     const std::lock_guard lock(mutex_);
     std::string out;
-    for (const KeeperEvent& e : events_) out += to_text(e) + "\n";
+    for (const AsyncStoreEvent& e : events_) out += to_text(e) + "\n";
     return out;
   }
 
  private:
   std::mutex mutex_;
   std::condition_variable more_;
-  std::vector<KeeperEvent> events_;
+  std::vector<AsyncStoreEvent> events_;
 };
 
 struct Case {
@@ -57,17 +57,17 @@
   FaultyVfs vfs;
   Heard heard;
   StoreSettings store = settings(temp / "s");
-  KeeperSettings keeper;
+  AsyncStoreSettings keeper;
   Case() {
     store.vfs = FaultyVfs::name;
     keeper.first_retry = std::chrono::milliseconds(1);
     keeper.last_retry = std::chrono::milliseconds(8);
-    keeper.end_within = kLong;
-    keeper.told = [this](const KeeperEvent& e) { heard(e); };
+    keeper.shutdown_timeout = kLong;
+    keeper.told = [this](const AsyncStoreEvent& e) { heard(e); };
   }
-  KeeperEvent expect(KeeperEvent::Kind kind) {
+  AsyncStoreEvent expect(AsyncStoreEvent::Kind kind) {
     bool found = false;
-    KeeperEvent e = heard.wait(kind, found);
+    AsyncStoreEvent e = heard.wait(kind, found);
     EXPECT_TRUE(found);
     return e;
   }
--- a/tests/store/keeper_disk_test.cpp
+++ b/tests/store/keeper_disk_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Kind = KeeperEvent::Kind;
+using Kind = AsyncStoreEvent::Kind;
 
 TEST(KeeperDisk, AFailureIsReportedOnceThenWhileItLastsAndAtItsEndWithItsDuration) {
   Case c;
@@ -20,20 +20,20 @@
   c.vfs.hook = [&](const FileStep& s) {
     return full && s.what == "write" && s.before ? SQLITE_FULL : SQLITE_OK;
   };
-  Keeper keeper(c.store, std::move(opened), c.keeper);
+  AsyncStore keeper(c.store, std::move(opened), c.keeper);
   full = true;
   keeper.put("a", "1");
   keeper.put("b", "1");
   EXPECT_EQ(c.expect(Kind::failed).why, Why::full);
   seconds += 61;
-  const KeeperEvent lasting = c.expect(Kind::lasting);
+  const AsyncStoreEvent lasting = c.expect(Kind::lasting);
   EXPECT_EQ(lasting.lasted, 61s);
   EXPECT_EQ(lasting.why, Why::full);
   EXPECT_EQ(lasting.waiting, 2u);
   EXPECT_GT(lasting.failures, 1u);
   seconds += 10;
   full = false;
-  const KeeperEvent written = c.expect(Kind::written);
+  const AsyncStoreEvent written = c.expect(Kind::written);
   EXPECT_EQ(written.lasted, 71s);
   EXPECT_EQ(written.waiting, 0u);
   ASSERT_TRUE(keeper.flush(kLong));
@@ -53,7 +53,7 @@
     if (s.before && s.what == "open") dead = false;
     return dead && s.before && s.what != "read" ? SQLITE_IOERR : SQLITE_OK;
   };
-  Keeper keeper(c.store, std::move(opened), c.keeper);
+  AsyncStore keeper(c.store, std::move(opened), c.keeper);
   keeper.put("a", "1");
   ASSERT_TRUE(keeper.flush(kLong));
   dead = true;
@@ -70,7 +70,7 @@
   Opened opened = Store::open(c.store);
   std::atomic<bool> spoil{false};
   std::atomic<std::uint64_t> kept_at_opening{99};
-  const Keeper* watched = nullptr;
+  const AsyncStore* watched = nullptr;
   c.vfs.hook = [&](const FileStep& s) {
     if (watched != nullptr && s.before && s.what == "open") kept_at_opening = watched->kept();
     if (!spoil || s.what != "write" || !s.before) return SQLITE_OK;
@@ -82,7 +82,7 @@
     return SQLITE_CORRUPT;
   };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.put("a", "1");
     keeper.put("gone", "1");
     keeper.put("same", "1");
@@ -116,11 +116,11 @@
     return SQLITE_CORRUPT;
   };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.remember("vote", "7");
     keeper.put("a", "1");
     ASSERT_TRUE(keeper.flush(kLong));
-    const KeeperEvent found = c.expect(Kind::opened);
+    const AsyncStoreEvent found = c.expect(Kind::opened);
     EXPECT_EQ(found.how, How::set_aside);
     EXPECT_EQ(found.aside, c.store.dir + "/store.db.aside-1");
   }
@@ -138,7 +138,7 @@
   std::vector<Kept> found;
   c.keeper.found = [&](const std::vector<Kept>& records) { found = records; };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.put("a", "new");
     c.expect(Kind::failed);
     fails = false;
@@ -152,19 +152,19 @@
 
 TEST(KeeperDisk, ALogThatCannotBeCarriedOverIsBounded) {
   Case c;
-  c.store.most_log_bytes = 200'000;
+  c.store.max_log_bytes = 200'000;
   std::atomic<bool> fails{true};
   Opened opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     const bool database = s.file.size() > 8 && s.file.compare(s.file.size() - 8, 8, "store.db") == 0;
     return fails && database && s.before && s.what == "write" ? SQLITE_IOERR_WRITE : SQLITE_OK;
   };
-  Keeper keeper(c.store, std::move(opened), c.keeper);
+  AsyncStore keeper(c.store, std::move(opened), c.keeper);
   for (int i = 0; i < 60 && keeper.counts().failures == 0; ++i) {
     keeper.put("a", value(i, 9000));
     keeper.flush(10ms);
   }
-  const KeeperEvent failed = c.expect(Kind::failed);
+  const AsyncStoreEvent failed = c.expect(Kind::failed);
   EXPECT_NE(failed.text.find("log cannot be carried over"), std::string::npos) << failed.text;
   EXPECT_LT(fs::file_size(c.store.dir + "/store.db-wal"), 250'000u);
   fails = false;
@@ -177,7 +177,7 @@
     Case c;
     Opened opened = Store::open(c.store);
     {
-      Keeper keeper(c.store, std::move(opened), c.keeper);
+      AsyncStore keeper(c.store, std::move(opened), c.keeper);
       keeper.put("a", "1");
       ASSERT_TRUE(keeper.flush(kLong));
       fs::remove_all(c.store.dir + gone);
--- a/tests/store/keeper_each_call_test.cpp
+++ b/tests/store/keeper_each_call_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Kind = KeeperEvent::Kind;
+using Kind = AsyncStoreEvent::Kind;
 
 constexpr int kBatches = 4;
 
@@ -41,7 +41,7 @@
   const std::string where = "errno " + std::to_string(failure.error) + ", call " + std::to_string(nth);
   {
     Opened opened = Store::open(c.store);
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     for (int i = 1; i <= kBatches; ++i) {
       std::uint64_t last = 0;
       for (const Change& change : batch(i))
--- a/tests/store/keeper_test.cpp
+++ b/tests/store/keeper_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-TEST(Keeper, NobodyWaitsForADiskThatStandsStillAndTheLatestValueWins) {
+TEST(AsyncStore, NobodyWaitsForADiskThatStandsStillAndTheLatestValueWins) {
   Case c;
   std::mutex disk;
   std::atomic<bool> stands{false};
@@ -21,10 +21,10 @@
     return SQLITE_OK;
   };
   c.keeper.most_bytes = 100000;
-  c.keeper.most_keys = 5;
+  c.keeper.max_keys = 5;
   {
     std::unique_lock stop(disk);
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     std::uint64_t last = keeper.put("first", "0");
     EXPECT_EQ(last, 1u);
     while (!stands) std::this_thread::yield();  // "first" is in hand
@@ -57,33 +57,33 @@
   EXPECT_EQ(state_of(Store::open(c.store)), want);
 }
 
-TEST(Keeper, AFullDiskIsToldOnceAndTriedAgainUntilItIsWell) {
+TEST(AsyncStore, AFullDiskIsToldOnceAndTriedAgainUntilItIsWell) {
   Case c;
   std::atomic<bool> full{false};
   Opened opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     return full && s.what == "write" && s.before ? SQLITE_FULL : SQLITE_OK;
   };
-  Keeper keeper(c.store, std::move(opened), c.keeper);
+  AsyncStore keeper(c.store, std::move(opened), c.keeper);
   keeper.put("a", "1");
   ASSERT_TRUE(keeper.flush(kLong));
   full = true;
   keeper.put("a", "2");
-  EXPECT_EQ(c.expect(KeeperEvent::Kind::failed).why, Why::full);
+  EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).why, Why::full);
   for (int i = 0; i < 3000 && keeper.counts().failures < 4; ++i) ::usleep(10000);
   EXPECT_GE(keeper.counts().failures, 4u);
   EXPECT_TRUE(keeper.counts().failing);
   const std::uint64_t number = keeper.put("a", "3");
   EXPECT_LT(keeper.kept(), number);
   full = false;
-  c.expect(KeeperEvent::Kind::written);
+  c.expect(AsyncStoreEvent::Kind::written);
   ASSERT_TRUE(keeper.flush(kLong));
-  EXPECT_EQ(c.heard.count(KeeperEvent::Kind::failed), 1u);
+  EXPECT_EQ(c.heard.count(AsyncStoreEvent::Kind::failed), 1u);
   EXPECT_FALSE(keeper.counts().failing);
   EXPECT_GE(keeper.kept(), number);
 }
 
-TEST(Keeper, WhatComesWhileAFailingBatchIsInHandIsNewerAndNoByteIsCountedTwice) {
+TEST(AsyncStore, WhatComesWhileAFailingBatchIsInHandIsNewerAndNoByteIsCountedTwice) {
   Case c;
   c.keeper.most_bytes = 1000;
   Opened opened = Store::open(c.store);
@@ -97,7 +97,7 @@
   };
   {
     std::unique_lock stop(disk);
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.put("a", std::string(400, 'o'));
     while (!stands) std::this_thread::yield();
     keeper.put("a", std::string(400, 'n'));
@@ -109,24 +109,24 @@
   c.vfs.hook = {};
   EXPECT_EQ(state_of(Store::open(c.store)),
             (State{{"a", std::string(400, 'n')}, {"b", std::string(999, 'w')}}));
-  EXPECT_EQ(c.heard.count(KeeperEvent::Kind::failed), 1u);
+  EXPECT_EQ(c.heard.count(AsyncStoreEvent::Kind::failed), 1u);
 }
 
-TEST(Keeper, AStoreThatAnotherHasIsTakenWhenItLetsGo) {
+TEST(AsyncStore, AStoreThatAnotherHasIsTakenWhenItLetsGo) {
   Case c;
   Opened first = Store::open(c.store);
   Opened second = Store::open(c.store);
   ASSERT_EQ(second.how, How::refused);
-  Keeper keeper(c.store, std::move(second), c.keeper);
+  AsyncStore keeper(c.store, std::move(second), c.keeper);
   keeper.put("a", "mine");
-  const KeeperEvent failed = c.expect(KeeperEvent::Kind::failed);
+  const AsyncStoreEvent failed = c.expect(AsyncStoreEvent::Kind::failed);
   EXPECT_EQ(failed.why, Why::disputed);
   first.store.reset();
-  EXPECT_EQ(c.expect(KeeperEvent::Kind::opened).how, How::opened);
+  EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::opened);
   EXPECT_TRUE(keeper.flush(kLong));
 }
 
-TEST(Keeper, DamageThatShowsWhileItRunsIsSetAsideAndAllIsWrittenAgain) {
+TEST(AsyncStore, DamageThatShowsWhileItRunsIsSetAsideAndAllIsWrittenAgain) {
   Case c;
   Opened opened = Store::open(c.store);
   std::atomic<bool> spoil{false};
@@ -138,7 +138,7 @@
     return SQLITE_CORRUPT;
   };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.put("a", "0");
     keeper.put("gone", "1");
     ASSERT_TRUE(keeper.flush(kLong));
@@ -147,8 +147,8 @@
     ASSERT_TRUE(keeper.flush(kLong));
     spoil = true;
     keeper.put("b", "2");
-    EXPECT_EQ(c.expect(KeeperEvent::Kind::failed).why, Why::damaged);
-    EXPECT_EQ(c.expect(KeeperEvent::Kind::opened).how, How::set_aside);
+    EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).why, Why::damaged);
+    EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::set_aside);
     ASSERT_TRUE(keeper.flush(kLong));
     EXPECT_TRUE(fs::exists(c.store.dir + "/store.db.aside-1"));
   }
--- a/tests/store/read_only_test.cpp
+++ b/tests/store/read_only_test.cpp
@@ -12,7 +12,7 @@
 namespace reeltack::store {
 namespace {
 
-using Kind = KeeperEvent::Kind;
+using Kind = AsyncStoreEvent::Kind;
 
 const State kHeld{{"members", "n0,n1"}, {"vote", "7"}};
 
@@ -74,7 +74,7 @@
     for (const Kept& record : records) found[record.key] = record.value;
   };
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     const std::uint64_t number = keeper.put("vote", "8");
     EXPECT_EQ(c.expect(Kind::failed).why, Why::io);
     EXPECT_FALSE(keeper.is_durable("vote", number));
--- a/tests/store/record_bound_test.cpp
+++ b/tests/store/record_bound_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Kind = KeeperEvent::Kind;
+using Kind = AsyncStoreEvent::Kind;
 
 std::string keys_of(const std::vector<Change>& changes) {
   std::string out;
@@ -18,32 +18,32 @@
   return out;
 }
 
-Division divide_at(std::size_t most, const std::set<std::string>& stored, std::vector<Change> changes) {
+BatchSplit divide_at(std::size_t most, const std::set<std::string>& stored, std::vector<Change> changes) {
   return divide(std::move(changes),
                 {stored.size(), most, [&](const std::string& key) { return stored.contains(key); }});
 }
 
-bool becomes_durable(const Keeper& keeper, const std::string& key, std::uint64_t number) {
+bool becomes_durable(const AsyncStore& keeper, const std::string& key, std::uint64_t number) {
   for (int looks = 0; looks < 3000 && !keeper.is_durable(key, number); ++looks) ::usleep(10000);
   return keeper.is_durable(key, number);
 }
 
 TEST(RecordBound, NewKeysTakeTheRoomInTheirOrderAndTheRestIsLeft) {
-  const Division parts =
+  const BatchSplit parts =
       divide_at(3, {"a", "b"}, {{"e", "1"}, {"a", "1"}, {"d", "1"}, {"c", "1"}, {"b", "1"}});
   EXPECT_EQ(keys_of(parts.fits), "e a b ");
   EXPECT_EQ(keys_of(parts.left), "d c ");
 }
 
 TEST(RecordBound, AnErasureMakesRoomForAKeyOfTheSameBatch) {
-  const Division parts =
+  const BatchSplit parts =
       divide_at(2, {"a", "b"}, {{"c", "1"}, {"d", "1"}, {"a", std::nullopt}, {"gone", std::nullopt}});
   EXPECT_EQ(keys_of(parts.fits), "c -a -gone ");
   EXPECT_EQ(keys_of(parts.left), "d ");
 }
 
 TEST(RecordBound, AStoreOverItsBoundIsOverwrittenAndErasedFromAllTheSame) {
-  const Division parts =
+  const BatchSplit parts =
       divide_at(1, {"a", "b", "c"}, {{"d", "1"}, {"a", "1"}, {"b", std::nullopt}, {"c", std::nullopt}});
   EXPECT_EQ(keys_of(parts.fits), "a -b -c ");
   EXPECT_EQ(keys_of(parts.left), "d ");
@@ -51,11 +51,11 @@
 
 TEST(RecordBound, WhatFitsIsDurableAndTheRestWaitsUntilARecordIsErased) {
   Case c;
-  c.store.most_records = 3;
+  c.store.max_records = 3;
   Opened opened = Store::open(c.store);
   ASSERT_TRUE(opened.store->write({{"a", "0"}, {"b", "0"}}, WallTime{}).ok());
   {
-    Keeper keeper(c.store, std::move(opened), c.keeper);
+    AsyncStore keeper(c.store, std::move(opened), c.keeper);
     const std::uint64_t first = keeper.put("c", "1");
     const std::uint64_t second = keeper.put("d", "1");
     const std::uint64_t third = keeper.put("e", "1");
@@ -65,7 +65,7 @@
     EXPECT_FALSE(keeper.is_durable("d", second));
     EXPECT_FALSE(keeper.is_durable("e", third));
     EXPECT_EQ(keeper.kept(), second - 1);
-    const KeeperEvent failed = c.expect(Kind::failed);
+    const AsyncStoreEvent failed = c.expect(Kind::failed);
     EXPECT_EQ(failed.why, Why::full);
     EXPECT_NE(failed.text.find("over its bound of 3 records"), std::string::npos) << failed.text;
     EXPECT_TRUE(keeper.counts().failing);
@@ -96,17 +96,17 @@
   Opened refused = Store::open(c.store);
   ASSERT_EQ(refused.how, How::refused);
   {
-    Keeper keeper(c.store, std::move(refused), c.keeper);
+    AsyncStore keeper(c.store, std::move(refused), c.keeper);
     for (std::size_t i = 0; i < kPut; ++i) ASSERT_NE(keeper.put("new-" + std::to_string(i), "1"), 0u);
     const std::uint64_t promise = keeper.put("promise", "new");
     ASSERT_NE(promise, 0u);
     running.store.reset();
     EXPECT_TRUE(becomes_durable(keeper, "promise", promise)) << c.heard.text();
-    EXPECT_EQ(keeper.kept(), c.store.most_records - kStored);
-    EXPECT_EQ(keeper.counts().waiting, kPut - (c.store.most_records - kStored));
+    EXPECT_EQ(keeper.kept(), c.store.max_records - kStored);
+    EXPECT_EQ(keeper.counts().waiting, kPut - (c.store.max_records - kStored));
   }
   const Opened found = Store::open(c.store);
-  EXPECT_EQ(found.kept.size(), c.store.most_records);
+  EXPECT_EQ(found.kept.size(), c.store.max_records);
   EXPECT_EQ(state_of(found).at("promise"), "new");
 }
 
