--- a/bench/circuits_figures.cpp
+++ b/bench/circuits_figures.cpp
@@ -38,8 +38,8 @@
     done.cic = cic;
     done.call = call;
     done.sequence = static_cast<std::uint32_t>(i) + 1;  // the same circuit each time
-    done.heard = std::get<Send>(actions[1]).message.sequence;
-    a.take(w.now, done, actions);
+    done.received = std::get<Send>(actions[1]).message.sequence;
+    a.receive(w.now, done, actions);
     if ((i & 1023) == 0) {  // its timers are void by now
       actions.clear();
       a.fire(w.now += 3s, actions);
@@ -68,10 +68,10 @@
       if (q == nullptr || q->message.kind != Kind::cqm) continue;
       ++queries;
       GroupActions said;
-      v.group(1).take(v.now, q->message, said);
+      v.group(1).receive(v.now, q->message, said);
       const Message response = std::get<Send>(said[0]).message;
-      bytes += response.words.size() * 16;
-      v.group(0).take(v.now, response, asked);
+      bytes += response.statuses.size() * 16;
+      v.group(0).receive(v.now, response, asked);
     }
   }
   const double us =
@@ -141,7 +141,7 @@
       w.forget(static_cast<std::size_t>(i % 2), 0.5, troubles);
     }
     std::printf("%s audits: %llu calls, %llu stood, %llu found no circuit\n", audits ? "with" : "without",
-                static_cast<unsigned long long>(w.calls), static_cast<unsigned long long>(w.stood),
+                static_cast<unsigned long long>(w.calls), static_cast<unsigned long long>(w.established),
                 static_cast<unsigned long long>(w.refused));
   }
 }
--- a/bench/circuits_world.h
+++ b/bench/circuits_world.h
@@ -27,7 +27,7 @@
     connect();
   }
   Time now{std::chrono::seconds(1000)};
-  std::uint64_t calls = 0, stood = 0, refused = 0, lost = 0;
+  std::uint64_t calls = 0, established = 0, refused = 0, lost = 0;
   // Both ends call at this rate until then; calls last `hold` in the mean.
   void run(Time until, double rate, Duration hold, load::Random& random) {
     Time next_call = rate > 0.0 ? now : Time::max();
@@ -54,7 +54,7 @@
     for (auto& w : wire_) w.clear();
     for (const std::size_t end : {0U, 1U}) {
       GroupActions actions;
-      group(end).broken(now, actions);
+      group(end).disconnected(now, actions);
       carry_out(end, actions);
     }
     for (auto& w : wire_) w.clear();
@@ -101,7 +101,7 @@
         const Message m = wire_[end].front().second;
         wire_[end].pop_front();
         GroupActions actions;
-        if (!group(end).take(now, m, actions)) std::abort();
+        if (!group(end).receive(now, m, actions)) std::abort();
         carry_out(end, actions);
       }
       GroupActions actions;
@@ -150,10 +150,11 @@
         carry_out(end, answer);
       }
       if (const auto* n = std::get_if<Answered>(&a)) {
-        ++stood;
+        ++established;
         timers_.emplace(now + hold_[n->call], std::pair(end, n->call));
       }
-      if (const auto* v = std::get_if<Over>(&a); v != nullptr && v->stood && v->outgoing && !v->told) {
+      if (const auto* v = std::get_if<Ended>(&a);
+          v != nullptr && v->established && v->outgoing && !v->by_far_end) {
         ++lost;  // it was cut
       }
     }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -49,10 +49,10 @@
 
 std::string key(int i) { return std::string("key-").append(std::to_string(i)); }
 
-store::Opened open(const store::StoreSettings& settings) {
-  store::Opened opened = store::Store::open(settings);
+store::OpenResult open(const store::StoreSettings& settings) {
+  store::OpenResult opened = store::Store::open(settings);
   if (!opened.store) {
-    std::fprintf(stderr, "store_bench: %s\n", opened.why.c_str());
+    std::fprintf(stderr, "store_bench: %s\n", opened.reason.c_str());
     std::exit(1);
   }
   return opened;
@@ -68,7 +68,7 @@
 void measure(store::StoreSettings settings) {
   memory("before");
   {
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     for (const auto& [size, times] : {std::pair{1024, 1500}, {16384, 1500}, {131072, 400}}) {
       std::vector<double> ms;
       for (int i = 0; i < times; ++i) {
@@ -82,7 +82,7 @@
   }
   settings.dir = settings.dir.substr(0, settings.dir.rfind('/')) + "/other";
   {
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     for (int i = 0; i < 10000; ++i) write(*opened.store, i, i % 10 == 0 ? 16384 : 1024);
     for (const auto& file : fs::directory_iterator(settings.dir)) {
       std::printf("10,000 overwrites: %-10s %ju\n", file.path().filename().c_str(),
@@ -92,7 +92,7 @@
   std::vector<double> ms;
   for (int i = 0; i < 50; ++i) {
     const auto from = Clock::now();
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     ms.push_back(ms_since(from));
   }
   print("open, prove and read all", ms);
--- a/src/circuits/group.cpp
+++ b/src/circuits/group.cpp
@@ -53,7 +53,7 @@
   m.call = call;
   m.cause = cause;
   m.sequence = ++c.sent;
-  m.heard = c.heard;
+  m.received = c.received;
   actions.emplace_back(Send{std::move(m)});
 }
 
@@ -73,7 +73,7 @@
 void Group::drop(Cic cic, int cause, bool by_far_end, GroupActions& actions) {
   const Circuit& c = circuits_[cic];
   if (holds_call(c.state))
-    actions.emplace_back(Over{c.call, is_out(c.state), stands(c.state), cause, by_far_end});
+    actions.emplace_back(Ended{c.call, is_out(c.state), stands(c.state), cause, by_far_end});
   enter(cic, State::idle, 0);
 }
 
--- a/src/circuits/group.h
+++ b/src/circuits/group.h
@@ -68,9 +68,9 @@
 
   // ---- events of the connection
   void connected(Time now, GroupActions& actions);
-  void broken(Time now, GroupActions& actions);
+  void disconnected(Time now, GroupActions& actions);
   // False: no end that keeps to the rules could have sent it; the connection must end.
-  bool take(Time now, const Message& message, GroupActions& actions);
+  bool receive(Time now, const Message& message, GroupActions& actions);
   void fire(Time now, GroupActions& actions);  // whatever is due
   [[nodiscard]] Time next_due() const;
 
@@ -104,7 +104,7 @@
   [[nodiscard]] std::string describe(Cic cic) const;
   // Circuits by what they are in now.
   struct Summary {
-    std::uint32_t idle = 0, seized = 0, standing = 0, releasing = 0, blocked_local = 0, blocked_remote = 0,
+    std::uint32_t idle = 0, seized = 0, established = 0, releasing = 0, blocked_local = 0, blocked_remote = 0,
                   lost = 0, suspect = 0, unaudited = 0;
   };
   [[nodiscard]] Summary summary() const;
@@ -115,13 +115,15 @@
  protected:
   // The two decisions that all else rests on; a test that breaks one must see the checks find it.
   [[nodiscard]] virtual bool wins(Cic cic) const { return controls(cic); }
-  [[nodiscard]] virtual bool is_older(std::uint32_t heard, std::uint32_t sent) const { return heard < sent; }
+  [[nodiscard]] virtual bool is_older(std::uint32_t received, std::uint32_t sent) const {
+    return received < sent;
+  }
 
  private:
   struct Circuit {
     State state = State::idle;
     bool blocked_local = false;
-    bool block_heard = false;  // the far end has acknowledged it
+    bool block_acknowledged = false;  // the far end has acknowledged it
     bool blocked_remote = false;
     bool lost = false;
     bool unaudited = true;       // since the connection came up, or since it was restored
@@ -129,7 +131,7 @@
     std::uint8_t disagreed = 0;  // answers to audits in a row that did, with nothing changed in between
     std::uint64_t call = 0;
     std::uint32_t sent = 0;
-    std::uint32_t heard = 0;
+    std::uint32_t received = 0;
     std::uint32_t seized = 0;    // `sent` at this end's last seizure: an iam that had not heard it collides
     std::uint64_t far_call = 0;  // what the far end said it holds, when it disagreed
   };
@@ -167,14 +169,14 @@
   void mark_agreed(Cic cic);
   // Frees or resets what disagreed twice with nothing in between, one batch.
   void settle(Time now, GroupActions& actions);
-  bool take_iam(Time now, const Message& m, bool older, GroupActions& actions);
-  void take_rel(const Message& m, GroupActions& actions);
-  void take_rsc(const Message& m, bool older, GroupActions& actions);
+  bool receive_iam(Time now, const Message& m, bool older, GroupActions& actions);
+  void receive_rel(const Message& m, GroupActions& actions);
+  void receive_rsc(const Message& m, bool older, GroupActions& actions);
   void retry_releases(Time now, GroupActions& actions);
   void confirm_suspects(Time now, GroupActions& actions);
   void drop_standing(GroupActions& actions);
-  void take_anm(const Message& m, GroupActions& actions);
-  bool take_group(Time now, const Message& m, GroupActions& actions);
+  void receive_anm(const Message& m, GroupActions& actions);
+  bool receive_group(Time now, const Message& m, GroupActions& actions);
 
   const GroupSettings settings_;
   std::vector<Circuit> circuits_;
--- a/src/circuits/group_actions.h
+++ b/src/circuits/group_actions.h
@@ -27,14 +27,14 @@
   std::uint64_t call = 0;
 };
 // A call is over that had been seized, offered or stood.
-struct Over {
+struct Ended {
   std::uint64_t call = 0;
   bool outgoing = false;
-  bool stood = false;
-  int cause = 0;      // Q.850
-  bool told = false;  // by the far end's release; else by a break, a reset or an audit
+  bool established = false;
+  int cause = 0;            // Q.850
+  bool by_far_end = false;  // by the far end's release; else by a break, a reset or an audit
 };
-using GroupAction = std::variant<Send, Offered, Answered, SeizureLost, Over>;
+using GroupAction = std::variant<Send, Offered, Answered, SeizureLost, Ended>;
 using GroupActions = std::vector<GroupAction>;
 
 // Causes (ITU-T Q.850).
--- a/src/circuits/group_audit.cpp
+++ b/src/circuits/group_audit.cpp
@@ -50,25 +50,25 @@
   m.cic = query.cic;
   m.count = query.count;
   m.token = query.token;
-  m.words.reserve(query.count);
+  m.statuses.reserve(query.count);
   for (Cic cic = query.cic; cic < query.cic + query.count; ++cic) {
     const Circuit& c = circuits_[cic];
     CircuitStatus w;
-    w.heard = c.heard;
-    w.standing = stands(c.state);
+    w.received = c.received;
+    w.established = stands(c.state);
     if (holds_call(c.state)) {
       w.state = is_out(c.state) ? CircuitStatus::State::out : CircuitStatus::State::in;
       w.call = c.call;
     } else if (c.state != State::idle) {
       w.state = CircuitStatus::State::changing;
     }
-    m.words.push_back(w);
+    m.statuses.push_back(w);
   }
   actions.emplace_back(Send{std::move(m)});
 }
 
 void Group::compare(Time now, const Message& response, GroupActions& actions) {
-  for (std::uint32_t i = 0; i < response.count; ++i) compare_one(now, response.cic + i, response.words[i]);
+  for (std::uint32_t i = 0; i < response.count; ++i) compare_one(now, response.cic + i, response.statuses[i]);
   if (audit_urgent_ && response.token == urgent_token_) step_audit(now, actions);
 }
 
@@ -84,7 +84,7 @@
   using Reported = CircuitStatus::State;
   // Something of ours had not been heard when this was said: it speaks of a past state. The other way round
   // nothing can be on its way, since what was sent before it has come before it.
-  if (report.heard != c.sent) return;
+  if (report.received != c.sent) return;
   if (report.state == Reported::changing || c.state == State::releasing || c.state == State::resetting)
     return;
   if (c.state == State::idle && report.state == Reported::idle) return mark_agreed(cic);
--- a/src/circuits/group_connection.cpp
+++ b/src/circuits/group_connection.cpp
@@ -6,7 +6,7 @@
 namespace reeltack::circuits {
 
 void Group::connected(Time now, GroupActions& actions) {
-  if (up_) broken(now, actions);
+  if (up_) disconnected(now, actions);
   up_ = true;
   ++epoch_;
   release_retries_.clear();
@@ -15,9 +15,9 @@
   settle_at_ = silence_at_ = Time::max();
   for (Cic cic = 0; cic < settings_.size; ++cic) {
     Circuit& c = circuits_[cic];
-    c.sent = c.heard = c.seized = 0;
+    c.sent = c.received = c.seized = 0;
     c.disagreed = 0;
-    c.blocked_remote = c.block_heard = false;
+    c.blocked_remote = c.block_acknowledged = false;
     c.unaudited = true;
     reselect(cic);
   }
@@ -31,7 +31,7 @@
   audit_now(now, actions);
 }
 
-void Group::broken(Time now, GroupActions& actions) {
+void Group::disconnected(Time now, GroupActions& actions) {
   if (!up_) return;
   up_ = false;
   audit_due_ = settle_at_ = Time::max();
--- a/src/circuits/group_inspection.cpp
+++ b/src/circuits/group_inspection.cpp
@@ -23,7 +23,7 @@
   for (const Circuit& c : circuits_) {
     out.idle += c.state == State::idle ? 1 : 0;
     out.seized += c.state == State::seized_out || c.state == State::seized_in ? 1 : 0;
-    out.standing += stands(c.state) ? 1 : 0;
+    out.established += stands(c.state) ? 1 : 0;
     out.releasing += c.state == State::releasing || c.state == State::resetting ? 1 : 0;
     out.blocked_local += c.blocked_local ? 1 : 0;
     out.blocked_remote += c.blocked_remote ? 1 : 0;
@@ -44,14 +44,14 @@
   for (Cic cic = 0; cic < settings_.size; ++cic) {
     const Circuit& c = circuits_[cic];
     put(static_cast<std::uint64_t>(c.state), 1);
-    put(static_cast<std::uint64_t>(c.blocked_local) | static_cast<std::uint64_t>(c.block_heard) << 1U |
+    put(static_cast<std::uint64_t>(c.blocked_local) | static_cast<std::uint64_t>(c.block_acknowledged) << 1U |
             static_cast<std::uint64_t>(c.blocked_remote) << 2U | static_cast<std::uint64_t>(c.lost) << 3U |
             static_cast<std::uint64_t>(c.unaudited) << 4U | static_cast<std::uint64_t>(c.disagreed) << 5U,
         1);
     put(c.call, 1);
     put(c.far_call, 1);
     put(c.sent, 1);
-    put(c.heard, 1);
+    put(c.received, 1);
     put(c.seized, 1);
     put(c.tries, 1);
   }
--- a/src/circuits/group_maintenance.cpp
+++ b/src/circuits/group_maintenance.cpp
@@ -8,7 +8,7 @@
 // The call on a circuit ends by this end's maintenance.
 void Group::release_lost_call(Time now, Cic cic, GroupActions& actions) {
   const Circuit& c = circuits_[cic];
-  actions.emplace_back(Over{c.call, is_out(c.state), stands(c.state), kTemporaryFailure, false});
+  actions.emplace_back(Ended{c.call, is_out(c.state), stands(c.state), kTemporaryFailure, false});
   begin_release(now, cic, kTemporaryFailure, actions);
 }
 
@@ -33,7 +33,7 @@
 void Group::unblock(Time /*now*/, Cic first, std::uint32_t count, GroupActions& actions) {
   count = std::min(count, settings_.size - first);
   for (Cic cic = first; cic < first + count; ++cic) {
-    circuits_[cic].blocked_local = circuits_[cic].block_heard = false;
+    circuits_[cic].blocked_local = circuits_[cic].block_acknowledged = false;
     reselect(cic);
   }
   // Lost circuits stay blocked for the far end.
@@ -67,7 +67,7 @@
     c.unaudited = true;  // not before both ends agree that it is idle
     reselect(cic);
     if (!c.blocked_local) {
-      c.block_heard = false;
+      c.block_acknowledged = false;
       send_blocking(false, cic, 1, actions);
     }
   }
--- a/src/circuits/group_receive.cpp
+++ b/src/circuits/group_receive.cpp
@@ -8,35 +8,35 @@
 
 }  // namespace
 
-bool Group::take(Time now, const Message& m, GroupActions& actions) {
+bool Group::receive(Time now, const Message& m, GroupActions& actions) {
   if (!up_ || m.cic >= settings_.size || m.count == 0 || m.count > settings_.size - m.cic) return false;
-  if (m.kind >= Kind::blo) return take_group(now, m, actions);
+  if (m.kind >= Kind::blo) return receive_group(now, m, actions);
   Circuit& c = circuits_[m.cic];
   // In order, each once, and nothing heard that was not said: else these are not two ends of one connection.
-  if (m.count != 1 || m.sequence != c.heard + 1 || m.heard > c.sent) return false;
-  c.heard = m.sequence;
+  if (m.count != 1 || m.sequence != c.received + 1 || m.received > c.sent) return false;
+  c.received = m.sequence;
   c.disagreed = 0;
   reselect(m.cic);
-  const bool older = is_older(m.heard, c.sent);  // it was sent before this end's last message was heard
+  const bool older = is_older(m.received, c.sent);  // it was sent before this end's last message was heard
   switch (m.kind) {
     case Kind::iam:
-      return take_iam(now, m, older, actions);
+      return receive_iam(now, m, older, actions);
     case Kind::anm:
-      return take_anm(m, actions), true;
+      return receive_anm(m, actions), true;
     case Kind::rel:
-      return take_rel(m, actions), true;
+      return receive_rel(m, actions), true;
     case Kind::rlc:
       if (c.state == State::releasing ? c.call == m.call : c.state == State::resetting && m.call == 0)
         enter(m.cic, State::idle, 0);
       return true;
     case Kind::rsc:
-      return take_rsc(m, older, actions), true;
+      return receive_rsc(m, older, actions), true;
     default:
       return false;
   }
 }
 
-void Group::take_anm(const Message& m, GroupActions& actions) {
+void Group::receive_anm(const Message& m, GroupActions& actions) {
   const Circuit& c = circuits_[m.cic];
   if (c.state != State::seized_out || c.call != m.call) {
     ++counts_.stale;  // it crossed our release; or an audit settles it
@@ -46,10 +46,10 @@
   actions.emplace_back(Answered{m.call});
 }
 
-bool Group::take_iam(Time now, const Message& m, bool older, GroupActions& actions) {
+bool Group::receive_iam(Time now, const Message& m, bool older, GroupActions& actions) {
   const Circuit& c = circuits_[m.cic];
   const bool known = calls_.contains(key(m.call, false)) || calls_.contains(key(m.call, true));
-  if (is_older(m.heard, c.seized)) {
+  if (is_older(m.received, c.seized)) {
     // Both have seized it, and neither had heard the other; ours may be over again by now. The far end finds
     // the same when ours gets there, whatever else has happened on the way.
     ++counts_.collisions;
@@ -67,7 +67,7 @@
     return false;  // both know of a call here
   }
   // A block that the far end had not heard of does not turn away what crosses it; a lost circuit does.
-  if (c.lost || (c.blocked_local && c.block_heard) || known) {
+  if (c.lost || (c.blocked_local && c.block_acknowledged) || known) {
     enter(m.cic, State::releasing, m.call);
     circuits_[m.cic].tries = 1;
     send_on(m.cic, Kind::rel, m.call, known ? kTemporaryFailure : kCircuitNotAvailable, actions);
@@ -80,7 +80,7 @@
   return true;
 }
 
-void Group::take_rel(const Message& m, GroupActions& actions) {
+void Group::receive_rel(const Message& m, GroupActions& actions) {
   const Circuit& c = circuits_[m.cic];
   if (holds_call(c.state) && c.call != m.call) {
     // Of a call that lost against ours: the far end learns of ours and needs no completion.
@@ -93,7 +93,7 @@
   send_on(m.cic, Kind::rlc, m.call, 0, actions);
 }
 
-void Group::take_rsc(const Message& m, bool older, GroupActions& actions) {
+void Group::receive_rsc(const Message& m, bool older, GroupActions& actions) {
   const Circuit& c = circuits_[m.cic];
   if (older && holds_call(c.state)) {
     ++counts_.stale;  // decided before our last message was heard: the newer one wins
@@ -103,7 +103,7 @@
   send_on(m.cic, Kind::rlc, 0, 0, actions);
 }
 
-bool Group::take_group(Time now, const Message& m, GroupActions& actions) {
+bool Group::receive_group(Time now, const Message& m, GroupActions& actions) {
   if (m.sequence != 0) return false;
   switch (m.kind) {
     case Kind::blo:
@@ -122,7 +122,7 @@
     }
     case Kind::bla:
       for (Cic cic = m.cic; cic < m.cic + m.count; ++cic)
-        circuits_[cic].block_heard = circuits_[cic].blocked_local || circuits_[cic].lost;
+        circuits_[cic].block_acknowledged = circuits_[cic].blocked_local || circuits_[cic].lost;
       return true;
     case Kind::uba:
       return true;
@@ -131,7 +131,7 @@
       respond(m, actions);
       return true;
     case Kind::cqr:
-      if (m.words.size() != m.count) return false;
+      if (m.statuses.size() != m.count) return false;
       compare(now, m, actions);
       return true;
     default:
--- a/src/circuits/message.h
+++ b/src/circuits/message.h
@@ -30,8 +30,8 @@
 // What a query's response says of one circuit.
 struct CircuitStatus {
   enum class State : std::uint8_t { idle, out, in, changing } state{};  // changing: releasing or resetting
-  bool standing = false;
-  std::uint32_t heard = 0;  // of the asking end's messages, on this connection
+  bool established = false;
+  std::uint32_t received = 0;  // of the asking end's messages, on this connection
   std::uint64_t call = 0;
   bool operator==(const CircuitStatus&) const = default;
 };
@@ -40,13 +40,13 @@
 struct Message {
   Kind kind{};
   Cic cic = 0;
-  std::uint32_t count = 1;             // blo, ubl, cqm, cqr: so many circuits from cic on
-  std::uint64_t call = 0;              // iam, anm, rel, rlc
-  int cause = 0;                       // rel: Q.850
-  std::uint32_t sequence = 0;          // of the sender on this circuit, from 1; 0 in group messages
-  std::uint32_t heard = 0;             // of the receiver's on this circuit
-  std::uint32_t token = 0;             // cqm, cqr
-  std::vector<CircuitStatus> words{};  // cqr
+  std::uint32_t count = 1;                // blo, ubl, cqm, cqr: so many circuits from cic on
+  std::uint64_t call = 0;                 // iam, anm, rel, rlc
+  int cause = 0;                          // rel: Q.850
+  std::uint32_t sequence = 0;             // of the sender on this circuit, from 1; 0 in group messages
+  std::uint32_t received = 0;             // of the receiver's on this circuit
+  std::uint32_t token = 0;                // cqm, cqr
+  std::vector<CircuitStatus> statuses{};  // cqr
   bool operator==(const Message&) const = default;
 };
 
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -50,24 +50,24 @@
   where.dir = settings.store;
   where.fleet = fleet_;
   where.owner = owner_;
-  store::Opened opened = store::open_or_read(where);
-  if (opened.how == store::Opened::How::refused) throw std::runtime_error(opened.why);
-  read(opened.kept, now);
+  store::OpenResult opened = store::open_or_read(where);
+  if (opened.how == store::OpenResult::How::refused) throw std::runtime_error(opened.reason);
+  read(opened.records, now);
   say_("store", std::string("dir=\"") + settings.store + "\" how=" + std::string(store::name(opened.how)) +
-                    " records=" + std::to_string(opened.kept.size()) + " foreign=" +
+                    " records=" + std::to_string(opened.records.size()) + " foreign=" +
                     std::to_string(opened.foreign) + " incarnation=" + std::to_string(incarnation_) +
-                    (opened.why.empty() ? "" : " why=\"" + opened.why + "\"") +
-                    (opened.where.empty() ? "" : " aside=\"" + opened.where + "\""));
+                    (opened.reason.empty() ? "" : " why=\"" + opened.reason + "\"") +
+                    (opened.aside_path.empty() ? "" : " aside=\"" + opened.aside_path + "\""));
   store::AsyncStoreSettings keeper;
-  keeper.told = [say = say_](const store::AsyncStoreEvent& event) { say("store", to_text(event)); };
-  keeper.found = [this](const std::vector<store::Kept>& records) {
+  keeper.on_event = [say = say_](const store::AsyncStoreEvent& event) { say("store", to_text(event)); };
+  keeper.on_records_found = [this](const std::vector<store::StoredRecord>& records) {
     const std::lock_guard lock(late_mutex_);
     late_ = records;
   };
   unread_ = opened.store == nullptr;
-  const std::vector<store::Kept> found = std::move(opened.kept);
+  const std::vector<store::StoredRecord> found = std::move(opened.records);
   keeper_ = std::make_unique<store::AsyncStore>(where, std::move(opened), std::move(keeper));
-  for (const store::Kept& r : found)
+  for (const store::StoredRecord& r : found)
     if (is_promise(r.key) && r.fleet == fleet_ && r.owner == owner_) keeper_->remember(r.key, r.value);
   put(Store{kIncarnationKey, std::to_string(incarnation_), std::nullopt});
   asked_ = 0;
@@ -78,10 +78,10 @@
 }
 
 // A copied disk tells of another controller: what it says of offices counts as the oldest, its numbers not.
-void Keeping::read(const std::vector<store::Kept>& records, const Moment& now) {
+void Keeping::read(const std::vector<store::StoredRecord>& records, const Moment& now) {
   bool other_fleet = false;
   std::vector<recovery::Record> out;
-  for (const store::Kept& r : records) {
+  for (const store::StoredRecord& r : records) {
     const bool own = r.fleet == fleet_ && r.owner == owner_;
     other_fleet = other_fleet || r.fleet != fleet_;
     recovery::Record record{r.key, r.value, std::nullopt};
@@ -153,7 +153,7 @@
 
 void Keeping::take_late() {
   if (!unread_) return;
-  std::optional<std::vector<store::Kept>> found;
+  std::optional<std::vector<store::StoredRecord>> found;
   {
     const std::lock_guard lock(late_mutex_);
     found = std::exchange(late_, std::nullopt);
@@ -163,8 +163,8 @@
   resolve(*found);
 }
 
-void Keeping::resolve(const std::vector<store::Kept>& found) {
-  for (const store::Kept& r : found) {
+void Keeping::resolve(const std::vector<store::StoredRecord>& found) {
+  for (const store::StoredRecord& r : found) {
     if (r.fleet != fleet_ || r.owner != owner_ || !is_promise(r.key)) continue;
     keeper_->remember(r.key, r.value);
     if (r.key == drift::kVoteRecord) earlier_.vote = drift::read_vote(r.value).value_or(drift::Vote{}).vote;
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -54,10 +54,10 @@
     clocks::BootTime since_boot{};
   };
   void open(const config::Controllers& settings, const Moment& now);
-  void read(const std::vector<store::Kept>& records, const Moment& now);
+  void read(const std::vector<store::StoredRecord>& records, const Moment& now);
   void hand_over();
   void take_late();
-  void resolve(const std::vector<store::Kept>& found);
+  void resolve(const std::vector<store::StoredRecord>& found);
   bool stands_against(const Store& promise) const;
   [[nodiscard]] bool incarnation_is_durable() const;
   [[nodiscard]] bool vote_is_durable() const;
@@ -82,8 +82,9 @@
   std::uint64_t held_change_ = 0;  // of the version that the vote is for; 0 also where it is kept already
 
   std::mutex late_mutex_;
-  std::optional<std::vector<store::Kept>> late_;  // what the keeper's thread has found in an unread store
-  std::unique_ptr<store::AsyncStore> keeper_;     // the first to go
+  std::optional<std::vector<store::StoredRecord>>
+      late_;                                   // what the keeper's thread has found in an unread store
+  std::unique_ptr<store::AsyncStore> keeper_;  // the first to go
 };
 
 }  // namespace reeltack::fleet
--- a/src/standin/far_end.cpp
+++ b/src/standin/far_end.cpp
@@ -98,12 +98,12 @@
   }
   void broken() override {
     circuits::GroupActions actions;
-    group_->broken(base::now(), actions);
+    group_->disconnected(base::now(), actions);
     carry_out(actions, {}, "", nullptr);
   }
   bool received(const trunk::Signal& signal) override {
     circuits::GroupActions actions;
-    const bool good = group_->take(base::now(), signal.message, actions);
+    const bool good = group_->receive(base::now(), signal.message, actions);
     if (!good) ++counts_.faults;
     carry_out(actions, {}, "", &signal);
     return good;
@@ -139,9 +139,9 @@
         later(io_, holds_[n->call], [this, call = n->call] { hang_up(call, true); });
       } else if (std::get_if<circuits::SeizureLost>(&a) != nullptr) {
         ++counts_.not_sent;
-      } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
-        if (v->outgoing && !v->stood) ++counts_.ended_out;
-        if (v->stood) ++counts_.over_stood;
+      } else if (const auto* v = std::get_if<circuits::Ended>(&a)) {
+        if (v->outgoing && !v->established) ++counts_.ended_out;
+        if (v->established) ++counts_.over_stood;
       }
     }
   }
--- a/src/store/change_queue.cpp
+++ b/src/store/change_queue.cpp
@@ -8,7 +8,7 @@
 namespace reeltack::store {
 
 bool ChangeQueue::fits(const std::string& key, const std::optional<std::string>& value) const {
-  if (key.empty() || key.size() > kMaxKeyBytes || (value && value->size() > kMostValue)) return false;
+  if (key.empty() || key.size() > kMaxKeyBytes || (value && value->size() > kMaxValueBytes)) return false;
   const auto old = waiting_.find(key);
   if (old == waiting_.end() && waiting() >= most_keys_) return false;
   const std::size_t freed = old == waiting_.end() ? 0 : size(key, old->second.value);
@@ -78,8 +78,8 @@
   for (const auto& [key, written] : in_hand_) bytes_ -= written.bytes;
   in_hand_.clear();
   if (lost_) return;
-  kept_ = number_;
-  for (const auto& [key, waiting] : waiting_) kept_ = std::min(kept_, waiting.first - 1);
+  durable_up_to_ = number_;
+  for (const auto& [key, waiting] : waiting_) durable_up_to_ = std::min(durable_up_to_, waiting.first - 1);
 }
 
 // What came meanwhile is newer than what was in hand.
@@ -93,19 +93,19 @@
 
 void ChangeQueue::lose() {
   lost_ = true;
-  kept_ = 0;
+  durable_up_to_ = 0;
 }
 
 // What waits is newer. An opening may find less than was confirmed: damage in the last batches reads as the
 // batch before them.
-void ChangeQueue::restore(const std::vector<Kept>& found, const std::string& fleet,
+void ChangeQueue::restore(const std::vector<StoredRecord>& found, const std::string& fleet,
                           const std::string& owner) {
-  std::map<std::string_view, const Kept*> there;
-  for (const Kept& record : found) there.emplace(record.key, &record);
+  std::map<std::string_view, const StoredRecord*> there;
+  for (const StoredRecord& record : found) there.emplace(record.key, &record);
   const auto is_there = [&](const Values::value_type& held) {
     const auto at = there.find(held.first);
     if (!held.second || at == there.end()) return !held.second && at == there.end();
-    const Kept& record = *at->second;
+    const StoredRecord& record = *at->second;
     return record.value == *held.second && record.fleet == fleet && record.owner == owner;
   };
   for (const auto& held : held_) {
--- a/src/store/change_queue.h
+++ b/src/store/change_queue.h
@@ -24,7 +24,7 @@
 
 class ChangeQueue {
  public:
-  ChangeQueue(std::size_t most_bytes, std::size_t max_keys) : most_bytes_(most_bytes), most_keys_(max_keys) {}
+  ChangeQueue(std::size_t max_bytes, std::size_t max_keys) : most_bytes_(max_bytes), most_keys_(max_keys) {}
 
   // The change's number, from 1 on and rising; 0 where it is refused.
   std::uint64_t put(const std::string& key, std::optional<std::string> value);
@@ -38,10 +38,10 @@
   // The store is damaged: nothing counts as durable until the next settle() of which something was written.
   void lose();
   // Has what is held and not found as it was wait again.
-  void restore(const std::vector<Kept>& found, const std::string& fleet, const std::string& owner);
+  void restore(const std::vector<StoredRecord>& found, const std::string& fleet, const std::string& owner);
 
   // All changes up to this number are durable.
-  [[nodiscard]] std::uint64_t kept() const { return kept_; }
+  [[nodiscard]] std::uint64_t durable_up_to() const { return durable_up_to_; }
   // This change is, or a newer one of its key.
   [[nodiscard]] bool is_durable(const std::string& key, std::uint64_t number) const;
   [[nodiscard]] std::uint64_t last_number() const { return number_; }
@@ -75,7 +75,7 @@
   std::size_t bytes_ = 0;  // of waiting_ and in_hand_
   std::size_t held_bytes_ = 0;
   std::uint64_t number_ = 0;  // of the last change taken
-  std::uint64_t kept_ = 0;
+  std::uint64_t durable_up_to_ = 0;
   bool lost_ = false;
   bool has_new_ = false;
   QueueCounts counts_;
--- a/src/store/contents.cpp
+++ b/src/store/contents.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-Written Contents::set_up() {
+WriteResult Contents::set_up() {
   if (const int rc = database.open(file, settings.vfs); rc != SQLITE_OK) return fail(rc);
   database.set_checkpoint_on_close(false);
-  if (sqlite3_db_readonly(database.handle(), "main") == 1) return fail(Why::io, "is not writable");
+  if (sqlite3_db_readonly(database.handle(), "main") == 1) return fail(ErrorCode::io, "is not writable");
   // The lock's order matters: exclusive before the log is first used keeps its index in this process's
   // memory.
   for (const std::string& sql :
@@ -29,16 +29,16 @@
   }
   std::string mode;
   if (const int rc = database.text("PRAGMA journal_mode=WAL", mode); rc != SQLITE_OK) return fail(rc);
-  if (mode != "wal") return fail(Why::io, "cannot keep a log beside it");
+  if (mode != "wal") return fail(ErrorCode::io, "cannot keep a log beside it");
   for (const std::string& sql : {"PRAGMA wal_autocheckpoint=" + std::to_string(settings.checkpoint_pages),
                                  std::string("PRAGMA journal_size_limit=4194304"),
-                                 "PRAGMA max_page_count=" + std::to_string(settings.most_bytes / kPage)}) {
+                                 "PRAGMA max_page_count=" + std::to_string(settings.max_bytes / kPage)}) {
     if (const int rc = database.run(sql); rc != SQLITE_OK) return fail(rc);
   }
   return {};
 }
 
-Written Contents::make() {
+WriteResult Contents::make() {
   Statement first;
   int rc = database.run("BEGIN IMMEDIATE");
   if (rc == SQLITE_OK) rc = database.run("PRAGMA application_id=" + std::to_string(kOurs));
@@ -52,21 +52,22 @@
     rc = first.run();
   }
   if (rc == SQLITE_OK) rc = database.run("COMMIT");
-  return rc == SQLITE_OK ? Written{} : fail(rc);
+  return rc == SQLITE_OK ? WriteResult{} : fail(rc);
 }
 
-Written Contents::prove(std::vector<Kept>& kept) {
+WriteResult Contents::prove(std::vector<StoredRecord>& records) {
   std::string text;
   if (const int rc = database.text("SELECT group_concat(sql, '; ') FROM sqlite_schema", text);
       rc != SQLITE_OK)
     return fail(rc);
-  if (text != kTable) return fail(Why::damaged, "its table is not a store's");
+  if (text != kTable) return fail(ErrorCode::damaged, "its table is not a store's");
   if (const int rc = database.text("PRAGMA quick_check(1)", text); rc != SQLITE_OK) return fail(rc);
   if (text != "ok") {
     const std::size_t at = text.find(kUnread);
-    const Why why =
-        at == std::string::npos ? Why::none : error_code_of(std::atoi(text.c_str() + at + kUnread.size()));
-    return fail(why == Why::none ? Why::damaged : why, text);
+    const ErrorCode code = at == std::string::npos
+                               ? ErrorCode::none
+                               : error_code_of(std::atoi(text.c_str() + at + kUnread.size()));
+    return fail(code == ErrorCode::none ? ErrorCode::damaged : code, text);
   }
   Statement all;
   if (const int rc = all.prepare(database.handle(), "SELECT key, value FROM record ORDER BY key");
@@ -76,40 +77,41 @@
   int rc = SQLITE_OK;
   while ((rc = all.step()) == SQLITE_ROW) {
     const std::string key(all.blob(0));
-    std::string why = "is no bytes";
-    std::optional<Kept> record;
-    if (all.is_blob(0) && all.is_blob(1)) record = decode(key, all.blob(1), why);
+    std::string reason = "is no bytes";
+    std::optional<StoredRecord> record;
+    if (all.is_blob(0) && all.is_blob(1)) record = decode(key, all.blob(1), reason);
     if (!record) {
       std::string text = key.empty() ? "the seal " : "record '";
       if (!key.empty()) text.append(key).append("' ");
-      return fail(Why::damaged, text.append(why));
+      return fail(ErrorCode::damaged, text.append(reason));
     }
     if (key.empty()) {
       found = decode_seal(record->value);
       continue;
     }
     sums[key] = checksum_of(all.blob(1));
-    kept.push_back(std::move(*record));
+    records.push_back(std::move(*record));
   }
   if (rc != SQLITE_DONE) return fail(rc);
-  if (!found) return fail(Why::damaged, "has no seal");
+  if (!found) return fail(ErrorCode::damaged, "has no seal");
   std::uint64_t sum = 0;
   for (const auto& [key, value] : sums) sum += value;
   if (found->count != sums.size() || found->sum != sum) {
-    return fail(Why::damaged, "its records are not those that were sealed (" + std::to_string(sums.size()) +
-                                  " of " + std::to_string(found->count) + ")");
+    return fail(ErrorCode::damaged, "its records are not those that were sealed (" +
+                                        std::to_string(sums.size()) + " of " + std::to_string(found->count) +
+                                        ")");
   }
   seal = *found;
   return {};
 }
 
-Written Contents::load(std::vector<Kept>& kept, bool& made) {
+WriteResult Contents::load(std::vector<StoredRecord>& records, bool& made) {
   made = false;
-  kept.clear();
+  records.clear();
   std::string unwritten;
   if (const int rc = rewrite_files(file, settings.vfs, unwritten); rc != SQLITE_OK)
     return {error_code_of(rc), unwritten + ": cannot be written again and synced: " + sqlite3_errstr(rc)};
-  Written done = set_up();
+  WriteResult done = set_up();
   if (!done.ok()) return done;
   std::int64_t id = 0, version = 0, pages = 0, tables = 0;
   int rc = database.number("SELECT count(*) FROM sqlite_schema", tables);
@@ -121,12 +123,12 @@
     if (done = make(); !done.ok()) return done;
     made = true;
   } else if (id != kOurs) {
-    return fail(Why::damaged, "is another program's file, or has lost its beginning");
+    return fail(ErrorCode::damaged, "is another program's file, or has lost its beginning");
   } else if (version != kVersion) {
-    return fail(Why::damaged,
+    return fail(ErrorCode::damaged,
                 "has version " + std::to_string(version) + ", known is " + std::to_string(kVersion));
   }
-  if (done = prove(kept); !done.ok()) return done;
+  if (done = prove(records); !done.ok()) return done;
   for (const auto& [statement, sql] :
        {std::pair{&begin, "BEGIN IMMEDIATE"},
         {&commit, "COMMIT"},
@@ -141,24 +143,24 @@
   return {};
 }
 
-Written Contents::bound_log() {
+WriteResult Contents::bound_log() {
   if (Folder(settings.dir, nullptr).size("store.db-wal") < settings.max_log_bytes) return {};
   const int rc =
       sqlite3_wal_checkpoint_v2(database.handle(), nullptr, SQLITE_CHECKPOINT_TRUNCATE, nullptr, nullptr);
-  return rc == SQLITE_OK ? Written{}
+  return rc == SQLITE_OK ? WriteResult{}
                          : fail(error_code_of(rc), "its log cannot be carried over: " + database.error());
 }
 
-Written Contents::verify_files() {
+WriteResult Contents::verify_files() {
   const Folder folder(settings.dir, nullptr);
   const auto log = folder.id("store.db-wal");
   if (!log_id) log_id = log;
   if (folder.id("store.db") == database_id && log && log == log_id) return {};
-  return fail(Why::damaged, "or its log was removed or replaced while it was open");
+  return fail(ErrorCode::damaged, "or its log was removed or replaced while it was open");
 }
 
 // The new sums are worked out beside the old ones, which stay until the disk has said yes.
-Written Contents::apply(const std::map<std::string_view, const Change*>& last, const Moment& at) {
+WriteResult Contents::apply(const std::map<std::string_view, const Change*>& last, const Moment& at) {
   Seal next = seal;
   ++next.generation;
   int rc = begin.run();
@@ -182,9 +184,9 @@
     ++next.count;
     fresh[key] = checksum_of(bytes);
   }
-  Written done = rc == SQLITE_OK ? Written{} : fail(rc);
+  WriteResult done = rc == SQLITE_OK ? WriteResult{} : fail(rc);
   if (done.ok() && next.count > settings.max_records && next.count > seal.count) {
-    done = fail(Why::full, "over its bound of " + std::to_string(settings.max_records) + " records");
+    done = fail(ErrorCode::full, "over its bound of " + std::to_string(settings.max_records) + " records");
   }
   if (done.ok()) {
     const std::string bytes = sealed(next, at);
--- a/src/store/contents.h
+++ b/src/store/contents.h
@@ -29,26 +29,29 @@
   std::optional<FileId> database_id, log_id;  // of the files that are open
   bool damaged = false;
 
-  [[nodiscard]] Written fail(Why why, const std::string& text) const { return {why, file + ": " + text}; }
-  [[nodiscard]] Written fail(int result) const { return fail(error_code_of(result), database.error()); }
+  [[nodiscard]] WriteResult fail(ErrorCode code, const std::string& text) const {
+    return {code, file + ": " + text};
+  }
+  [[nodiscard]] WriteResult fail(int result) const { return fail(error_code_of(result), database.error()); }
 
   // Opens the file and proves all that is in it; `made`: it was empty and is a store now.
-  Written load(std::vector<Kept>& kept, bool& made);
-  Written set_up();
-  Written make();
-  Written prove(std::vector<Kept>& kept);
+  WriteResult load(std::vector<StoredRecord>& records, bool& made);
+  WriteResult set_up();
+  WriteResult make();
+  WriteResult prove(std::vector<StoredRecord>& records);
   // A log that cannot be carried over (its disk writes, the file's does not) must not grow for ever.
-  Written bound_log();
+  WriteResult bound_log();
   // Whether what was written is where the next opening will look for it.
-  Written verify_files();
+  WriteResult verify_files();
   // One transaction, durable where ok(); keys and sizes are checked before.
   struct Moment {
     clocks::WallTime wall{};
     clocks::BootTime since_boot{};
   };
-  Written apply(const std::map<std::string_view, const Change*>& last, const Moment& at);
+  WriteResult apply(const std::map<std::string_view, const Change*>& last, const Moment& at);
   std::string record(const std::string& key, const std::string& value, const Moment& at) const {
-    return encode(Kept{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
+    return encode(
+        StoredRecord{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
   }
   std::string sealed(const Seal& value, const Moment& at) const {
     return record(std::string(kSealKey), encode(value), at);
--- a/src/store/disk_calls.cpp
+++ b/src/store/disk_calls.cpp
@@ -63,14 +63,14 @@
 
 void DiskCallMonitor::tell(const AsyncStoreEvent& event) {
   const std::lock_guard telling(telling_);
-  if (settings_.told) settings_.told(event);
+  if (settings_.on_event) settings_.on_event(event);
 }
 
 // Called with `telling_` held.
 void DiskCallMonitor::report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted) {
   AsyncStoreEvent event = make_event_(kind);
   event.lasted = std::chrono::duration_cast<milliseconds>(lasted);
-  if (settings_.told) settings_.told(event);
+  if (settings_.on_event) settings_.on_event(event);
 }
 
 bool DiskCallMonitor::hanging() const {
--- a/src/store/failure_report.h
+++ b/src/store/failure_report.h
@@ -19,16 +19,16 @@
       : outage_(first_reminder, last_reminder) {}
 
   // As what this failure is reported: the first, a reminder, or damage that was not known of; or not at all.
-  std::optional<AsyncStoreEvent::Kind> failed(Why why, Time now) {
+  std::optional<AsyncStoreEvent::Kind> failed(ErrorCode code, Time now) {
     const base::Outage::Report report = outage_.failed(now);
-    const bool found_damaged = why == Why::damaged && last_why_ != Why::damaged;
-    last_why_ = why;
+    const bool found_damaged = code == ErrorCode::damaged && last_code_ != ErrorCode::damaged;
+    last_code_ = code;
     if (report == base::Outage::Report::begun || found_damaged) return AsyncStoreEvent::Kind::failed;
     if (report == base::Outage::Report::lasting) return AsyncStoreEvent::Kind::lasting;
     return std::nullopt;
   }
   void ended() {
-    last_why_ = Why::none;
+    last_code_ = ErrorCode::none;
     outage_.ended();
   }
   [[nodiscard]] bool on() const { return outage_.on(); }
@@ -43,7 +43,7 @@
 
  private:
   base::Outage outage_;
-  Why last_why_ = Why::none;
+  ErrorCode last_code_ = ErrorCode::none;
 };
 
 }  // namespace reeltack::store
--- a/src/store/faults.h
+++ b/src/store/faults.h
@@ -8,9 +8,9 @@
 
 namespace reeltack::store {
 
-class Faults {
+class FaultInjector {
  public:
-  virtual ~Faults() = default;
+  virtual ~FaultInjector() = default;
   // Called before and after each step ("make folder", "lock", "sync folder", "set aside"). A number other
   // than 0 before a step is the errno that it fails with, without being tried; after it, it is ignored.
   virtual int at(std::string_view step, bool before) = 0;
--- a/src/store/folder.cpp
+++ b/src/store/folder.cpp
@@ -23,35 +23,35 @@
 
 }  // namespace
 
-bool Folder::make(std::string& why) const {
+bool Folder::make(std::string& reason) const {
   int error = before("make folder");
   if (error == 0 && ::mkdir(dir_.c_str(), 0750) != 0 && errno != EEXIST) error = errno;
   if (error != 0) {
-    why = said("cannot make folder", dir_, error);
+    reason = said("cannot make folder", dir_, error);
     return false;
   }
   after("make folder");
   return true;
 }
 
-Lock::Got Folder::lock(Lock& lock, std::string& why) const {
+Lock::Got Folder::lock(Lock& lock, std::string& reason) const {
   if (const int error = before("lock"); error != 0) {
-    why = said("cannot lock", dir_, error);
+    reason = said("cannot lock", dir_, error);
     return Lock::Got::failed;
   }
-  const Lock::Got got = lock.take(dir_ + "/store.lock", why);
+  const Lock::Got got = lock.take(dir_ + "/store.lock", reason);
   after("lock");
   return got;
 }
 
-bool Folder::sync(std::string& why) const {
+bool Folder::sync(std::string& reason) const {
   for (const std::string& folder : {dir_, dir_ + "/.."}) {
     int error = before("sync folder");
     const int fd = error == 0 ? ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC) : -1;
     if (error == 0 && (fd < 0 || ::fsync(fd) != 0)) error = errno;
     if (fd >= 0) ::close(fd);
     if (error != 0) {
-      why = said("cannot sync folder", folder, error);
+      reason = said("cannot sync folder", folder, error);
       return false;
     }
     after("sync folder");
@@ -71,7 +71,7 @@
   return FileId{s.st_dev, s.st_ino};
 }
 
-bool Folder::set_aside(std::string& where, std::string& why) const {
+bool Folder::set_aside(std::string& where, std::string& reason) const {
   const std::string file = dir_ + "/store.db";
   int number = 1;
   const auto aside = [&](std::string_view end) {
@@ -84,13 +84,13 @@
     int error = before("set aside");
     if (error == 0 && ::rename(from.c_str(), aside(end).c_str()) != 0) error = errno;
     if (error != 0) {
-      why = said("cannot set aside", from, error);
+      reason = said("cannot set aside", from, error);
       return false;
     }
     after("set aside");
   }
   where = aside("");
-  return sync(why);
+  return sync(reason);
 }
 
 }  // namespace reeltack::store
--- a/src/store/folder.h
+++ b/src/store/folder.h
@@ -21,18 +21,18 @@
 
 class Folder {
  public:
-  Folder(std::string dir, Faults* faults) : dir_(std::move(dir)), faults_(faults) {}
+  Folder(std::string dir, FaultInjector* faults) : dir_(std::move(dir)), faults_(faults) {}
   // False with the reason in `why`, as below.
-  bool make(std::string& why) const;
-  Lock::Got lock(Lock& lock, std::string& why) const;
-  bool sync(std::string& why) const;
+  bool make(std::string& reason) const;
+  Lock::Got lock(Lock& lock, std::string& reason) const;
+  bool sync(std::string& reason) const;
   [[nodiscard]] std::uint64_t size(std::string_view name) const;  // 0 where there is none
   // Which file stands under a name; two files that are there at once differ. Nothing where there is none.
   [[nodiscard]] std::optional<FileId> id(std::string_view name) const;
   // Renames the journal, the file and the log, in this order: cut off between, what is left is a log without
   // its file, which is known for what it is. The other way a file without its log could be read as older than
   // it is.
-  bool set_aside(std::string& where, std::string& why) const;
+  bool set_aside(std::string& where, std::string& reason) const;
 
  private:
   // 0, or the errno that a test wants.
@@ -41,7 +41,7 @@
     if (faults_ != nullptr) faults_->at(step, false);
   }
   const std::string dir_;
-  Faults* const faults_;
+  FaultInjector* const faults_;
 };
 
 }  // namespace reeltack::store
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -9,13 +9,13 @@
 
 namespace reeltack::store {
 
-AsyncStore::AsyncStore(StoreSettings store, Opened&& opened, AsyncStoreSettings settings)
+AsyncStore::AsyncStore(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings)
     : writer_(std::make_shared<Writer>(std::move(store), std::move(opened), std::move(settings))),
       writing_([writer = writer_] { writer->run(); }) {
-  std::string why;
-  if (watching_.start([writer = writer_] { writer->watch(); }, why)) return;
+  std::string reason;
+  if (watching_.start([writer = writer_] { writer->watch(); }, reason)) return;
   end();
-  throw std::runtime_error(why);
+  throw std::runtime_error(reason);
 }
 
 AsyncStore::~AsyncStore() { end(); }
@@ -38,7 +38,7 @@
 void AsyncStore::remember(const std::string& key, std::string value) {
   writer_->remember(key, std::move(value));
 }
-std::uint64_t AsyncStore::kept() const { return writer_->kept(); }
+std::uint64_t AsyncStore::durable_up_to() const { return writer_->durable_up_to(); }
 bool AsyncStore::is_durable(const std::string& key, std::uint64_t number) const {
   return writer_->is_durable(key, number);
 }
--- a/src/store/keeper.h
+++ b/src/store/keeper.h
@@ -35,7 +35,7 @@
  public:
   // Takes the store that open() gave, or none: then it opens one itself, the first time after `first_retry`.
   // Throws std::runtime_error where no thread can be had.
-  AsyncStore(StoreSettings store, Opened&& opened, AsyncStoreSettings settings);
+  AsyncStore(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings);
   // Writes what waits, once, and closes the store. Where a call to the disk has not returned by
   // `shutdown_timeout` it is left to itself: its thread goes on alone, calls nobody, and ends with the call
   // or the process.
@@ -50,7 +50,7 @@
   std::uint64_t erase(const std::string& key);
   // A value that the store holds since an earlier life, to be written again where it is lost in this one.
   void remember(const std::string& key, std::string value);
-  [[nodiscard]] std::uint64_t kept() const;
+  [[nodiscard]] std::uint64_t durable_up_to() const;
   // Whether one change is durable, also where an earlier one of another key is not.
   [[nodiscard]] bool is_durable(const std::string& key, std::uint64_t number) const;
   // Waits until all that was taken before is durable; false where it is not by then. For the start and the
--- a/src/store/keeper_types.cpp
+++ b/src/store/keeper_types.cpp
@@ -38,10 +38,10 @@
   using Kind = AsyncStoreEvent::Kind;
   std::string out = "state=" + name_of(event.kind);
   if (event.kind == Kind::opened) out += " how=" + std::string(name(event.how));
-  if (event.why != Why::none) out += " why=" + quoted(std::string(name(event.why)));
+  if (event.code != ErrorCode::none) out += " why=" + quoted(std::string(name(event.code)));
   if (event.kind != Kind::failed) out += " lasted_ms=" + std::to_string(event.lasted.count());
   out += " failures=" + std::to_string(event.failures) + " not_durable=" + std::to_string(event.waiting);
-  if (!event.aside.empty()) out += " aside=" + quoted(event.aside);
+  if (!event.aside_path.empty()) out += " aside=" + quoted(event.aside_path);
   if (!event.text.empty()) out += " text=" + quoted(event.text);
   return out;
 }
--- a/src/store/keeper_types.h
+++ b/src/store/keeper_types.h
@@ -24,10 +24,11 @@
     returned,  // that call has returned
     abandoned,  // the keeper ends while a call has not returned; what is not durable is given up
   } kind = Kind::failed;
-  Why why = Why::none;                    // for failed and lasting
-  Opened::How how = Opened::How::opened;  // for opened: after `fresh` and `set_aside` all is written again
-  std::string text;                       // what failed; for opened: why it was set aside
-  std::string aside;                      // for opened after `set_aside`: the file's new name
+  ErrorCode code = ErrorCode::none;  // for failed and lasting
+  OpenResult::How how =
+      OpenResult::How::opened;  // for opened: after `fresh` and `set_aside` all is written again
+  std::string text;             // what failed; for opened: why it was set aside
+  std::string aside_path;       // for opened after `set_aside`: the file's new name
   // Since the first failure; for hanging, returned and abandoned since the call began.
   std::chrono::milliseconds lasted{0};
   unsigned failures = 0;    // since the first failure
@@ -40,7 +41,7 @@
 
 struct AsyncStoreSettings {
   // Keys and values waiting or being written; so many more are held to be written again.
-  std::size_t most_bytes = std::size_t{4} << 20;
+  std::size_t max_bytes = std::size_t{4} << 20;
   std::size_t max_keys = 4096;  // as above
   std::chrono::milliseconds first_retry{1000};
   std::chrono::milliseconds last_retry{60000};
@@ -54,10 +55,10 @@
   // The destructor waits so long for the last batch and the closing; then it ends without them where a call
   // has not returned.
   std::chrono::milliseconds shutdown_timeout{5000};
-  std::function<void(const AsyncStoreEvent&)> told;  // may be empty
+  std::function<void(const AsyncStoreEvent&)> on_event;  // may be empty
   // Where no store was given and one could be opened later: what is in it, before anything is written over
   // it.
-  std::function<void(const std::vector<Kept>&)> found;  // may be empty
+  std::function<void(const std::vector<StoredRecord>&)> on_records_found;  // may be empty
   std::function<std::chrono::steady_clock::time_point()> clock = [] {
     return std::chrono::steady_clock::now();
   };
--- a/src/store/lock.cpp
+++ b/src/store/lock.cpp
@@ -29,9 +29,9 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-Lock::Got Lock::open_and_lock(const std::string& file, int flags, std::string& why) {
+Lock::Got Lock::open_and_lock(const std::string& file, int flags, std::string& reason) {
   const auto failed = [&](const char* what) {
-    why = std::string(what) + " " + file + ": " + std::generic_category().message(errno);
+    reason = std::string(what) + " " + file + ": " + std::generic_category().message(errno);
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
     return Got::failed;
@@ -40,20 +40,20 @@
   if (fd_ < 0) return failed("cannot open");
   if (::flock(fd_, LOCK_EX | LOCK_NB) != 0) {
     if (errno != EWOULDBLOCK) return failed("cannot lock");
-    why = file + " is locked: the store belongs to process " + pid_in(fd_) + " now";
+    reason = file + " is locked: the store belongs to process " + pid_in(fd_) + " now";
     ::close(fd_);
     fd_ = -1;
-    return Got::disputed;
+    return Got::locked;
   }
   return Got::held;
 }
 
-Lock::Got Lock::acquire_read_only(const std::string& file, std::string& why) {
-  return open_and_lock(file, O_RDONLY, why);
+Lock::Got Lock::acquire_read_only(const std::string& file, std::string& reason) {
+  return open_and_lock(file, O_RDONLY, reason);
 }
 
-Lock::Got Lock::take(const std::string& file, std::string& why) {
-  if (const Got got = open_and_lock(file, O_RDWR | O_CREAT, why); got != Got::held) return got;
+Lock::Got Lock::take(const std::string& file, std::string& reason) {
+  if (const Got got = open_and_lock(file, O_RDWR | O_CREAT, reason); got != Got::held) return got;
   // The pid is for people; a full disk must not keep the store shut, so a failed write is let be.
   const std::string pid = std::to_string(::getpid()) + "\n";
   if (::ftruncate(fd_, 0) != 0 || ::pwrite(fd_, pid.data(), pid.size(), 0) < 0) errno = 0;
--- a/src/store/lock.h
+++ b/src/store/lock.h
@@ -15,14 +15,14 @@
   ~Lock();
   Lock(const Lock&) = delete;
   Lock& operator=(const Lock&) = delete;
-  enum class Got { held, disputed, failed };
+  enum class Got { held, locked, failed };
   // `why` says what went wrong: for `disputed` it names the file and the pid that has it.
-  Got take(const std::string& file, std::string& why);
+  Got take(const std::string& file, std::string& reason);
   // The same where the file cannot be written: nothing is made and no pid is left in it.
-  Got acquire_read_only(const std::string& file, std::string& why);
+  Got acquire_read_only(const std::string& file, std::string& reason);
 
  private:
-  Got open_and_lock(const std::string& file, int flags, std::string& why);
+  Got open_and_lock(const std::string& file, int flags, std::string& reason);
   int fd_ = -1;
 };
 
--- a/src/store/memory_copy.cpp
+++ b/src/store/memory_copy.cpp
@@ -109,7 +109,7 @@
   return SQLITE_OK;
 }
 
-int copy_file(sqlite3_vfs& vfs, const std::string& file, std::uint64_t most_bytes, MemoryCopy::Bytes& to) {
+int copy_file(sqlite3_vfs& vfs, const std::string& file, std::uint64_t max_bytes, MemoryCopy::Bytes& to) {
   int there = 0;  // and not empty
   if (const int rc = vfs.xAccess(&vfs, file.c_str(), SQLITE_ACCESS_EXISTS, &there); rc != SQLITE_OK)
     return rc;
@@ -118,7 +118,7 @@
   if (const int rc = from.open(file, SQLITE_OPEN_READONLY); rc != SQLITE_OK) return rc;
   sqlite3_int64 size = 0;
   if (const int rc = from.size(size); rc != SQLITE_OK) return rc;
-  if (static_cast<std::uint64_t>(size) > most_bytes) return SQLITE_TOOBIG;
+  if (static_cast<std::uint64_t>(size) > max_bytes) return SQLITE_TOOBIG;
   to.resize(static_cast<std::size_t>(size));
   for (sqlite3_int64 at = 0; at < size; at += kChunk) {
     const int length = static_cast<int>(std::min<sqlite3_int64>(size - at, kChunk));
@@ -145,11 +145,11 @@
 
 MemoryCopy::~MemoryCopy() { sqlite3_vfs_unregister(&vfs_); }
 
-int MemoryCopy::read(const std::string& database_file, const std::string& vfs, std::uint64_t most_bytes,
+int MemoryCopy::read(const std::string& database_file, const std::string& vfs, std::uint64_t max_bytes,
                      std::string& failed) {
   sqlite3_vfs* from = sqlite3_vfs_find(vfs.empty() ? nullptr : vfs.c_str());
   if (from == nullptr) return SQLITE_CANTOPEN;
-  std::uint64_t room = most_bytes;
+  std::uint64_t room = max_bytes;
   for (const std::string_view end : {"-journal", "-wal", ""}) {
     failed = database_file + std::string(end);
     Bytes bytes;
--- a/src/store/memory_copy.h
+++ b/src/store/memory_copy.h
@@ -25,7 +25,7 @@
 
   // Copies the file, its log and its journal through the VFS of that name (empty: the system's): SQLITE_OK,
   // or the engine's result, SQLITE_TOOBIG beyond `most_bytes`; `failed` is then the file.
-  int read(const std::string& database_file, const std::string& vfs, std::uint64_t most_bytes,
+  int read(const std::string& database_file, const std::string& vfs, std::uint64_t max_bytes,
            std::string& failed);
   [[nodiscard]] std::uint64_t size(const std::string& file) const;  // 0 where there is none
   [[nodiscard]] const std::string& vfs_name() const { return name_; }
--- a/src/store/read_only.h
+++ b/src/store/read_only.h
@@ -11,6 +11,6 @@
 // As Store::open(). Where the machine refused to open it for writing and what is there can be proven:
 // `read_only`, with the records, and `why` says what was refused. Where another process is found to have it,
 // or the copy cannot be read or proven, it stays `failed`, with both reasons.
-Opened open_or_read(const StoreSettings& settings);
+OpenResult open_or_read(const StoreSettings& settings);
 
 }  // namespace reeltack::store
--- a/src/store/record.cpp
+++ b/src/store/record.cpp
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-std::string encode(const Kept& record) {
+std::string encode(const StoredRecord& record) {
   std::string out;
   out.reserve(record.value.size() + record.fleet.size() + record.owner.size() + kFixedBytes);
   add(out, kForm, 1);
@@ -77,22 +77,22 @@
 
 std::uint64_t checksum_of(std::string_view bytes) { return number(bytes.substr(bytes.size() - 8)); }
 
-std::optional<Kept> decode(std::string_view key, std::string_view bytes, std::string& why) {
+std::optional<StoredRecord> decode(std::string_view key, std::string_view bytes, std::string& reason) {
   if (bytes.size() < 8) {
-    why = "is too short";
+    reason = "is too short";
     return std::nullopt;
   }
   if (sum_over(key, bytes.substr(0, bytes.size() - 8)) != checksum_of(bytes)) {
-    why = "has a wrong checksum";
+    reason = "has a wrong checksum";
     return std::nullopt;
   }
   Reader from{bytes.substr(0, bytes.size() - 8)};
   const std::uint64_t form = number(from.take(1));
   if (form != kForm && form != kFormWithoutBoot) {
-    why = "has form " + std::to_string(form) + ", known is " + std::to_string(kForm);
+    reason = "has form " + std::to_string(form) + ", known is " + std::to_string(kForm);
     return std::nullopt;
   }
-  Kept out;
+  StoredRecord out;
   out.key = key;
   out.format = static_cast<std::uint16_t>(number(from.take(2)));
   out.written_at = clocks::WallTime{Duration{static_cast<Duration::rep>(number(from.take(8)))}};
@@ -100,7 +100,7 @@
   out.fleet = from.take(number(from.take(1)));
   out.owner = from.take(number(from.take(1)));
   if (!from.ok) {
-    why = "ends within its names";
+    reason = "ends within its names";
     return std::nullopt;
   }
   out.value = from.left;
--- a/src/store/record.h
+++ b/src/store/record.h
@@ -18,11 +18,11 @@
 
 namespace reeltack::store {
 
-std::string encode(const Kept& record);
+std::string encode(const StoredRecord& record);
 // The checksum that ends a record's bytes (at least 8 of them).
 std::uint64_t checksum_of(std::string_view bytes);
 // Nothing where the bytes are not such a record of that key; `why` says in what.
-std::optional<Kept> decode(std::string_view key, std::string_view bytes, std::string& why);
+std::optional<StoredRecord> decode(std::string_view key, std::string_view bytes, std::string& reason);
 
 // What all records come to: kept under the empty key, which no record has.
 struct Seal {
--- a/src/store/record_bound.cpp
+++ b/src/store/record_bound.cpp
@@ -14,7 +14,7 @@
   for (Change& change : changes) {
     const bool is_new = change.value && !bound.is_stored(change.key);
     if (is_new && room == 0) {
-      out.left.push_back(std::move(change));
+      out.deferred.push_back(std::move(change));
       continue;
     }
     if (is_new) --room;
--- a/src/store/sqlite.cpp
+++ b/src/store/sqlite.cpp
@@ -71,23 +71,23 @@
   return first_row(sql, [&value](const Statement& row) { value = row.blob(0); });
 }
 
-Why error_code_of(int result) {
+ErrorCode error_code_of(int result) {
   switch (result & 0xff) {
     case SQLITE_OK:
     case SQLITE_ROW:
     case SQLITE_DONE:
-      return Why::none;
+      return ErrorCode::none;
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
     case SQLITE_ERROR:  // our own statements are right, so the schema they met is not ours
     case SQLITE_NOTFOUND:
-      return Why::damaged;
+      return ErrorCode::damaged;
     case SQLITE_FULL:
-      return Why::full;
+      return ErrorCode::full;
     case SQLITE_TOOBIG:
-      return Why::too_big;
+      return ErrorCode::too_big;
     default:
-      return Why::io;
+      return ErrorCode::io;
   }
 }
 
--- a/src/store/sqlite.h
+++ b/src/store/sqlite.h
@@ -58,6 +58,6 @@
   sqlite3* handle_ = nullptr;
 };
 
-Why error_code_of(int result);
+ErrorCode error_code_of(int result);
 
 }  // namespace reeltack::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -9,37 +9,37 @@
 
 namespace reeltack::store {
 
-std::string_view name(Why why) {
-  switch (why) {
-    case Why::none:
+std::string_view name(ErrorCode code) {
+  switch (code) {
+    case ErrorCode::none:
       return "done";
-    case Why::too_big:
+    case ErrorCode::too_big:
       return "too big";
-    case Why::full:
+    case ErrorCode::full:
       return "full";
-    case Why::io:
+    case ErrorCode::io:
       return "input or output failed";
-    case Why::damaged:
+    case ErrorCode::damaged:
       return "damaged";
-    case Why::disputed:
+    case ErrorCode::locked:
       return "another process has it";
   }
   return "";
 }
 
-std::string_view name(Opened::How how) {
+std::string_view name(OpenResult::How how) {
   switch (how) {
-    case Opened::How::fresh:
+    case OpenResult::How::fresh:
       return "fresh";
-    case Opened::How::opened:
+    case OpenResult::How::opened:
       return "opened";
-    case Opened::How::set_aside:
+    case OpenResult::How::set_aside:
       return "set_aside";
-    case Opened::How::refused:
+    case OpenResult::How::refused:
       return "refused";
-    case Opened::How::read_only:
+    case OpenResult::How::read_only:
       return "read_only";
-    case Opened::How::failed:
+    case OpenResult::How::failed:
       break;
   }
   return "failed";
@@ -54,61 +54,61 @@
 const std::string& Store::file() const { return inside_->file; }
 std::uint64_t Store::generation() const { return inside_->seal.generation; }
 
-Opened Store::open(const StoreSettings& settings) {
-  using How = Opened::How;
-  Opened out;
-  if (settings.fleet.size() > kMostName || settings.owner.size() > kMostName) {
-    out.why = "the fleet's or the owner's name is over " + std::to_string(kMostName) + " bytes";
+OpenResult Store::open(const StoreSettings& settings) {
+  using How = OpenResult::How;
+  OpenResult out;
+  if (settings.fleet.size() > kMaxNameBytes || settings.owner.size() > kMaxNameBytes) {
+    out.reason = "the fleet's or the owner's name is over " + std::to_string(kMaxNameBytes) + " bytes";
     return out;
   }
   auto inside = std::make_unique<Inside>(settings);
   Folder folder(settings.dir, settings.faults);
-  if (!folder.make(out.why)) return out;
-  switch (folder.lock(inside->lock, out.why)) {
+  if (!folder.make(out.reason)) return out;
+  switch (folder.lock(inside->lock, out.reason)) {
     case Lock::Got::held:
       break;
-    case Lock::Got::disputed:
+    case Lock::Got::locked:
       out.how = How::refused;
       return out;
     case Lock::Got::failed:
       return out;
   }
   bool made = false;
-  Written done;
+  WriteResult done;
   const std::uint64_t size = folder.size("store.db");
   // Both would pass for a new file, and the engine would write over what is there.
   if (size == 0 && folder.size("store.db-wal") > 0) {
-    done = inside->fail(Why::damaged, "is empty or gone, but its log is not");
+    done = inside->fail(ErrorCode::damaged, "is empty or gone, but its log is not");
   } else if (size > 0 && size < kPage && folder.size("store.db-journal") == 0) {
-    done = inside->fail(Why::damaged, "is shorter than its first page");
+    done = inside->fail(ErrorCode::damaged, "is shorter than its first page");
   } else {
-    done = inside->load(out.kept, made);
+    done = inside->load(out.records, made);
   }
-  if (done.why == Why::damaged) {
-    const std::string why = done.text;
+  if (done.code == ErrorCode::damaged) {
+    const std::string reason = done.text;
     inside->unload();
-    if (!folder.set_aside(out.where, out.why)) {
-      out.why = why + "; " + out.why;
-      out.kept.clear();
+    if (!folder.set_aside(out.aside_path, out.reason)) {
+      out.reason = reason + "; " + out.reason;
+      out.records.clear();
       return out;
     }
     out.how = How::set_aside;
-    out.why = why;
-    done = inside->load(out.kept, made);
+    out.reason = reason;
+    done = inside->load(out.records, made);
   } else {
     out.how = made ? How::fresh : How::opened;
   }
   // Names must be as durable as content, at each opening: were the making's journal there again after a power
   // loss, it would take the file back to nothing. The process before may have died before it came here.
   std::string unsynced;
-  if (done.ok() && !folder.sync(unsynced)) done = {Why::io, unsynced};
+  if (done.ok() && !folder.sync(unsynced)) done = {ErrorCode::io, unsynced};
   if (!done.ok()) {
     out.how = How::failed;
-    out.why = (out.where.empty() ? "" : out.why + "; ") + done.text;
-    out.kept.clear();
+    out.reason = (out.aside_path.empty() ? "" : out.reason + "; ") + done.text;
+    out.records.clear();
     return out;
   }
-  for (const Kept& k : out.kept)
+  for (const StoredRecord& k : out.records)
     out.foreign += k.fleet != settings.fleet || k.owner != settings.owner ? 1 : 0;
   out.store.reset(new Store(std::move(inside)));
   return out;
@@ -120,23 +120,23 @@
                                             [&sums](const std::string& key) { return sums.contains(key); }});
 }
 
-Written Store::write(const std::vector<Change>& changes, clocks::WallTime written_at,
-                     const clocks::BootTime& written_since_boot) {
+WriteResult Store::write(const std::vector<Change>& changes, clocks::WallTime written_at,
+                         const clocks::BootTime& written_since_boot) {
   Inside& in = *inside_;
-  if (in.damaged) return in.fail(Why::damaged, "was found damaged; open it anew");
+  if (in.damaged) return in.fail(ErrorCode::damaged, "was found damaged; open it anew");
   std::map<std::string_view, const Change*> last;
   for (const Change& c : changes) {
-    if (c.key.empty() || c.key.size() > kMaxKeyBytes || (c.value && c.value->size() > kMostValue)) {
-      return in.fail(Why::too_big, "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " +
-                                       std::to_string(kMaxKeyBytes) + " bytes and a value of at most " +
-                                       std::to_string(kMostValue));
+    if (c.key.empty() || c.key.size() > kMaxKeyBytes || (c.value && c.value->size() > kMaxValueBytes)) {
+      return in.fail(ErrorCode::too_big, "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " +
+                                             std::to_string(kMaxKeyBytes) + " bytes and a value of at most " +
+                                             std::to_string(kMaxValueBytes));
     }
     last[c.key] = &c;
   }
-  Written done = in.bound_log();
+  WriteResult done = in.bound_log();
   if (done.ok()) done = in.apply(last, {written_at, written_since_boot});
   if (done.ok()) done = in.verify_files();
-  if (done.why == Why::damaged) {
+  if (done.code == ErrorCode::damaged) {
     in.damaged = true;
     in.database.set_checkpoint_on_close(false);
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -29,21 +29,21 @@
 
 namespace reeltack::store {
 
-inline constexpr std::size_t kMaxKeyBytes = 128;                    // bytes; at least 1
-inline constexpr std::size_t kMostValue = std::size_t{256} * 1024;  // bytes
-inline constexpr std::size_t kMostName = 64;                        // bytes of a fleet's or owner's name
+inline constexpr std::size_t kMaxKeyBytes = 128;                        // bytes; at least 1
+inline constexpr std::size_t kMaxValueBytes = std::size_t{256} * 1024;  // bytes
+inline constexpr std::size_t kMaxNameBytes = 64;                        // bytes of a fleet's or owner's name
 
 struct StoreSettings {
   std::string dir;                                    // made where it is missing (its parent must be there)
   std::string fleet;                                  // stands beside each record written
   std::string owner;                                  // this controller's name; a copied file tells by it
   std::uint16_t format = 1;                           // of the values, as the writer understands them
-  std::size_t most_bytes = std::size_t{64} << 20;     // of store.db; beyond it a write is `full`
+  std::size_t max_bytes = std::size_t{64} << 20;      // of store.db; beyond it a write is `full`
   std::size_t max_records = 4096;                     // beyond it a write is `full`
   int checkpoint_pages = 256;                         // of 4 KiB: the log is carried over from this size on
   std::size_t max_log_bytes = std::size_t{16} << 20;  // a log that cannot be carried over grows to this
-  std::string vfs;           // for tests: the name of an SQLite VFS; else the system's
-  Faults* faults = nullptr;  // for tests: outlives the store
+  std::string vfs;                  // for tests: the name of an SQLite VFS; else the system's
+  FaultInjector* faults = nullptr;  // for tests: outlives the store
 };
 
 // A change of one key: its new value, or nothing to take it away.
@@ -55,12 +55,12 @@
 // A batch in two parts: what the store's bound on records lets in, and what it does not.
 struct BatchSplit {
   std::vector<Change> fits;
-  std::vector<Change> left;
+  std::vector<Change> deferred;
 };
 
 // A record as it was found. Whose it is and when it was written is told, not judged: the clock may have been
 // wrong, and the file may have been copied.
-struct Kept {
+struct StoredRecord {
   std::string key;
   std::string value;
   std::string fleet;
@@ -70,29 +70,29 @@
   clocks::BootTime written_since_boot{};  // its boot is not known in records of older programs
 };
 
-enum class Why {
-  none,      // done
-  too_big,   // a key, a value or a name over its bound; nothing was tried
-  full,      // the disk, or this store's own bounds; nothing was changed
-  io,        // the machine refused (permission, EIO, memory): may pass
-  damaged,   // the content is wrong, or the files are no longer those of the folder: this store writes no
-             // more; open anew, which sets aside what is wrong
-  disputed,  // another process has it
+enum class ErrorCode {
+  none,     // done
+  too_big,  // a key, a value or a name over its bound; nothing was tried
+  full,     // the disk, or this store's own bounds; nothing was changed
+  io,       // the machine refused (permission, EIO, memory): may pass
+  damaged,  // the content is wrong, or the files are no longer those of the folder: this store writes no
+            // more; open anew, which sets aside what is wrong
+  locked,   // another process has it
 };
-std::string_view name(Why why);
+std::string_view name(ErrorCode code);
 
-struct Written {
-  Why why = Why::none;
+struct WriteResult {
+  ErrorCode code = ErrorCode::none;
   std::string text;  // what failed, with the file
-  [[nodiscard]] bool ok() const { return why == Why::none; }
+  [[nodiscard]] bool ok() const { return code == ErrorCode::none; }
 };
 
-struct Opened;
+struct OpenResult;
 
 class Store {
  public:
   // Opens or makes the store and reads all of it; waits for the disk.
-  static Opened open(const StoreSettings& settings);
+  static OpenResult open(const StoreSettings& settings);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
@@ -100,8 +100,8 @@
   // All changes or none, durable on return where ok(); otherwise the old or the new state is what a later
   // open() finds (the old one, unless the power goes in the same moment). Of several changes to a key the
   // last counts.
-  Written write(const std::vector<Change>& changes, clocks::WallTime written_at,
-                const clocks::BootTime& written_since_boot = {});
+  WriteResult write(const std::vector<Change>& changes, clocks::WallTime written_at,
+                    const clocks::BootTime& written_since_boot = {});
 
   // What of a batch write() would not refuse as beyond `max_records`; see store/record_bound.h.
   [[nodiscard]] BatchSplit divide(std::vector<Change> changes) const;
@@ -115,7 +115,7 @@
   std::unique_ptr<Inside> inside_;
 };
 
-struct Opened {
+struct OpenResult {
   enum class How {
     fresh,      // nothing was there
     opened,     // `kept` is what was there
@@ -125,12 +125,12 @@
     failed,     // the machine refused: no store, nothing was renamed
   };
   How how = How::failed;
-  std::unique_ptr<Store> store;  // not for refused, read_only and failed
-  std::vector<Kept> kept;        // in order of key
-  std::size_t foreign = 0;       // how many of them name another fleet or owner
-  std::string why;               // for all but fresh and opened
-  std::string where;             // for set_aside: the file's new name; its log's is that and "-wal"
+  std::unique_ptr<Store> store;       // not for refused, read_only and failed
+  std::vector<StoredRecord> records;  // in order of key
+  std::size_t foreign = 0;            // how many of them name another fleet or owner
+  std::string reason;                 // for all but fresh and opened
+  std::string aside_path;             // for set_aside: the file's new name; its log's is that and "-wal"
 };
-std::string_view name(Opened::How how);
+std::string_view name(OpenResult::How how);
 
 }  // namespace reeltack::store
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -14,19 +14,19 @@
 using std::chrono::milliseconds;
 constexpr milliseconds kBetweenCalls{10};
 
-Written no_store(const Opened& opened) {
-  return {opened.how == Opened::How::refused ? Why::disputed : Why::io, opened.why};
+WriteResult no_store(const OpenResult& opened) {
+  return {opened.how == OpenResult::How::refused ? ErrorCode::locked : ErrorCode::io, opened.reason};
 }
 
 }  // namespace
 
-Writer::Writer(StoreSettings store, Opened&& opened, AsyncStoreSettings settings)
+Writer::Writer(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings)
     : store_settings_(std::move(store)),
       settings_(std::move(settings)),
       store_(std::move(opened.store)),
       looked_(store_ != nullptr),
       no_store_(no_store(opened)),
-      queue_(settings_.most_bytes, settings_.max_keys),
+      queue_(settings_.max_bytes, settings_.max_keys),
       report_(settings_.first_reminder, settings_.last_reminder),
       calls_(settings_, [this](AsyncStoreEvent::Kind kind) {
         const std::lock_guard lock(mutex_);
@@ -38,7 +38,7 @@
   if (store_ == nullptr) {
     wait = settings_.first_retry;
     std::unique_lock lock(mutex_);
-    const auto news = failed(no_store_.why, no_store_.text);
+    const auto news = failed(no_store_.code, no_store_.text);
     lock.unlock();
     tell(news);
   }
@@ -74,7 +74,7 @@
 }
 
 Writer::Outcome Writer::open_store() {
-  Opened opened;
+  OpenResult opened;
   if (!calls_.make([&] { opened = Store::open(store_settings_); })) return Outcome::given_up;
   store_ = std::move(opened.store);
   if (store_ != nullptr) {
@@ -82,26 +82,26 @@
     return Outcome::done;
   }
   std::unique_lock lock(mutex_);
-  const auto news = failed(no_store(opened).why, opened.why);
+  const auto news = failed(no_store(opened).code, opened.reason);
   lock.unlock();
   tell(news);
   return Outcome::failed;
 }
 
-void Writer::after_opening(const Opened& opened) {
+void Writer::after_opening(const OpenResult& opened) {
   io_failures_ = 0;
-  if (!looked_ && settings_.found) settings_.found(opened.kept);
+  if (!looked_ && settings_.on_records_found) settings_.on_records_found(opened.records);
   looked_ = true;
   std::unique_lock lock(mutex_);
-  queue_.restore(opened.kept, store_settings_.fleet, store_settings_.owner);
-  const bool news = opened.how != Opened::How::opened || !opening_told_;
+  queue_.restore(opened.records, store_settings_.fleet, store_settings_.owner);
+  const bool news = opened.how != OpenResult::How::opened || !opening_told_;
   opening_told_ = true;
   if (!news) return;
   AsyncStoreEvent event = this->event(AsyncStoreEvent::Kind::opened);
   lock.unlock();
   event.how = opened.how;
-  event.text = opened.why;
-  event.aside = opened.where;
+  event.text = opened.reason;
+  event.aside_path = opened.aside_path;
   tell(event);
 }
 
@@ -111,11 +111,11 @@
   lock.unlock();
   if (batch.empty()) return Outcome::done;
   BatchSplit parts = store_->divide(std::move(batch));
-  Written written;
+  WriteResult written;
   const bool returned = calls_.make([&] {
     if (!parts.fits.empty()) written = store_->write(parts.fits, base::wall_now(), base::boot_now());
-    io_failures_ = written.why == Why::io ? io_failures_ + 1 : 0;
-    if (written.why == Why::damaged || io_failures_ >= kReopenAfter) store_.reset();
+    io_failures_ = written.code == ErrorCode::io ? io_failures_ + 1 : 0;
+    if (written.code == ErrorCode::damaged || io_failures_ >= kReopenAfter) store_.reset();
   });
   if (!returned) return Outcome::given_up;
   return after_writing(written, std::move(parts));
@@ -123,20 +123,20 @@
 
 // What is left over by the store's bound waits for another change, not for a time: only an erasure makes
 // room.
-Writer::Outcome Writer::after_writing(const Written& written, BatchSplit&& parts) {
+Writer::Outcome Writer::after_writing(const WriteResult& written, BatchSplit&& parts) {
   std::optional<AsyncStoreEvent> news;
   std::unique_lock lock(mutex_);
   if (!written.ok()) {
-    if (written.why == Why::damaged) queue_.lose();
-    std::move(parts.left.begin(), parts.left.end(), std::back_inserter(parts.fits));
+    if (written.code == ErrorCode::damaged) queue_.lose();
+    std::move(parts.deferred.begin(), parts.deferred.end(), std::back_inserter(parts.fits));
     queue_.settle(std::move(parts.fits));
-    news = failed(written.why, written.text);
+    news = failed(written.code, written.text);
   } else {
     if (!parts.fits.empty()) ++counts_.batches;
     counts_.written += parts.fits.size();
-    const bool all = parts.left.empty();
-    queue_.settle(std::move(parts.left));
-    news = all ? recovered() : failed(Why::full, over_bound());
+    const bool all = parts.deferred.empty();
+    queue_.settle(std::move(parts.deferred));
+    news = all ? recovered() : failed(ErrorCode::full, over_bound());
   }
   lock.unlock();
   done_.notify_all();
@@ -149,13 +149,13 @@
 }
 
 // Called with the lock held. What is to be told of this failure, if anything.
-std::optional<AsyncStoreEvent> Writer::failed(Why why, const std::string& text) {
+std::optional<AsyncStoreEvent> Writer::failed(ErrorCode code, const std::string& text) {
   ++counts_.failures;
   counts_.failing = true;
-  const auto kind = report_.failed(why, settings_.clock());
+  const auto kind = report_.failed(code, settings_.clock());
   if (!kind) return std::nullopt;
   AsyncStoreEvent out = event(*kind);
-  out.why = why;
+  out.code = code;
   out.text = text;
   return out;
 }
@@ -198,8 +198,8 @@
 }
 
 void Writer::forget_owner() {
-  settings_.told = nullptr;
-  settings_.found = nullptr;
+  settings_.on_event = nullptr;
+  settings_.on_records_found = nullptr;
   settings_.clock = nullptr;
 }
 
@@ -218,9 +218,9 @@
   queue_.remember(key, std::move(value));
 }
 
-std::uint64_t Writer::kept() const {
+std::uint64_t Writer::durable_up_to() const {
   const std::lock_guard lock(mutex_);
-  return queue_.kept();
+  return queue_.durable_up_to();
 }
 
 bool Writer::is_durable(const std::string& key, std::uint64_t number) const {
@@ -231,7 +231,7 @@
 bool Writer::flush(milliseconds within) {
   std::unique_lock lock(mutex_);
   const std::uint64_t number = queue_.last_number();
-  return done_.wait_for(lock, within, [&] { return queue_.kept() >= number; });
+  return done_.wait_for(lock, within, [&] { return queue_.durable_up_to() >= number; });
 }
 
 AsyncStoreCounts Writer::counts() const {
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -24,7 +24,7 @@
 
 class Writer {
  public:
-  Writer(StoreSettings store, Opened&& opened, AsyncStoreSettings settings);
+  Writer(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings);
 
   void run();  // until stop(): writes what waits, once more at the end, and closes the store
   void watch() { calls_.watch(); }  // until stop()
@@ -36,7 +36,7 @@
 
   std::uint64_t put(const std::string& key, std::optional<std::string> value);
   void remember(const std::string& key, std::string value);
-  [[nodiscard]] std::uint64_t kept() const;
+  [[nodiscard]] std::uint64_t durable_up_to() const;
   [[nodiscard]] bool is_durable(const std::string& key, std::uint64_t number) const;
   bool flush(std::chrono::milliseconds within);
   [[nodiscard]] AsyncStoreCounts counts() const;
@@ -47,10 +47,10 @@
   Outcome attempt();
   Outcome open_store();
   Outcome write_batch();
-  void after_opening(const Opened& opened);
-  Outcome after_writing(const Written& written, BatchSplit&& parts);
+  void after_opening(const OpenResult& opened);
+  Outcome after_writing(const WriteResult& written, BatchSplit&& parts);
   [[nodiscard]] std::string over_bound() const;
-  std::optional<AsyncStoreEvent> failed(Why why, const std::string& text);
+  std::optional<AsyncStoreEvent> failed(ErrorCode code, const std::string& text);
   std::optional<AsyncStoreEvent> recovered();
   void tell(const std::optional<AsyncStoreEvent>& event);
   [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind) const;
@@ -61,7 +61,7 @@
   bool looked_ = false;           // the store has been opened in this life
   bool opening_told_ = false;     // in this outage
   unsigned io_failures_ = 0;      // in a row
-  const Written no_store_;        // why none was given
+  const WriteResult no_store_;    // why none was given
 
   mutable std::mutex mutex_;
   std::condition_variable work_, done_, ended_;
--- a/src/trunk/codec.cpp
+++ b/src/trunk/codec.cpp
@@ -34,12 +34,12 @@
   if (s.cause() > 127) throw CodecError("a cause beyond Q.850: " + std::to_string(s.cause()));
   m.cause = static_cast<int>(s.cause());
   m.sequence = s.sequence();
-  m.heard = s.heard();
+  m.received = s.heard();
   m.token = s.token();
-  m.words.reserve(static_cast<std::size_t>(s.words_size()));
+  m.statuses.reserve(static_cast<std::size_t>(s.words_size()));
   for (const wire::Word& w : s.words()) {
     if (w.state() > 3) throw CodecError("a circuit in the unknown state " + std::to_string(w.state()));
-    m.words.push_back(
+    m.statuses.push_back(
         {static_cast<circuits::CircuitStatus::State>(w.state()), w.standing(), w.heard(), w.call()});
   }
   return m;
@@ -70,13 +70,13 @@
   out.set_call(m.call);
   out.set_cause(static_cast<std::uint32_t>(m.cause));
   out.set_sequence(m.sequence);
-  out.set_heard(m.heard);
+  out.set_heard(m.received);
   out.set_token(m.token);
-  for (const circuits::CircuitStatus& w : m.words) {
+  for (const circuits::CircuitStatus& w : m.statuses) {
     wire::Word& word = *out.add_words();
     word.set_state(static_cast<std::uint32_t>(w.state));
-    word.set_standing(w.standing);
-    word.set_heard(w.heard);
+    word.set_standing(w.established);
+    word.set_heard(w.received);
     word.set_call(w.call);
   }
   if (m.kind == circuits::Kind::iam) {
--- a/src/trunk/group_actions.cpp
+++ b/src/trunk/group_actions.cpp
@@ -26,22 +26,22 @@
     } else if (const auto* x = std::get_if<circuits::SeizureLost>(&a)) {
       const auto out = attempts_.extract(CallId{x->call});
       if (out) core_.attempt_failed(CallId{x->call}, out.mapped(), AttemptOutcome::not_sent);
-    } else if (const auto* v = std::get_if<circuits::Over>(&a)) {
+    } else if (const auto* v = std::get_if<circuits::Ended>(&a)) {
       const CallId call{v->call};
       if (!v->outgoing) {
-        v->stood ? core_.release(call, *this) : core_.give_up(call, *this);
+        v->established ? core_.release(call, *this) : core_.give_up(call, *this);
         continue;
       }
       const auto out = attempts_.extract(call);
-      if (v->stood) {
+      if (v->established) {
         core_.ended({settings_.office,
                      call,
                      v->cause == core::kNormalClearing ? v->cause : core::kTemporaryFailure,
                      "",
                      {}});
-      } else if (out && v->told && (v->cause == kNotAvailable || v->cause == circuits::kNoCircuit)) {
+      } else if (out && v->by_far_end && (v->cause == kNotAvailable || v->cause == circuits::kNoCircuit)) {
         core_.attempt_failed(call, out.mapped(), AttemptOutcome::not_sent);
-      } else if (out && v->told) {
+      } else if (out && v->by_far_end) {
         const bool congested = v->cause == kCongestion;
         core_.ended({settings_.office,
                      call,
--- a/src/trunk/maintenance.cpp
+++ b/src/trunk/maintenance.cpp
@@ -15,7 +15,7 @@
       R"({"name":)" + base::quoted(settings_.name) + R"(,"office":")" + base::office_name(settings_.office) +
       R"(","connection":)" + base::quoted(state_) + number("connections", connections_) +
       number("circuits", group_.size()) + number("selectable", group_.selectable()) + number("idle", s.idle) +
-      number("seized", s.seized) + number("standing", s.standing) + number("releasing", s.releasing) +
+      number("seized", s.seized) + number("standing", s.established) + number("releasing", s.releasing) +
       number("blocked_local", s.blocked_local) + number("blocked_remote", s.blocked_remote) +
       number("lost", s.lost) + number("suspect", s.suspect) + number("unaudited", s.unaudited) +
       number("seizures", c.seized) + number("offered", c.offered) + number("collisions", c.collisions) +
--- a/src/trunk/serving.cpp
+++ b/src/trunk/serving.cpp
@@ -90,7 +90,7 @@
   log("connection over: " + (reason.empty() ? std::string("this end stops") : reason));
   const std::lock_guard hold(lock_);
   circuits::GroupActions actions;
-  group_.broken(tick(), actions);
+  group_.disconnected(tick(), actions);
   carry_out(actions, {}, nullptr);
   outbox_.clear();
   state_ = "down: " + reason;
@@ -107,7 +107,7 @@
       if (frame->hello) return false;
       if (!frame->signal) continue;
       circuits::GroupActions actions;
-      const bool good = group_.take(tick(), frame->signal->message, actions);
+      const bool good = group_.receive(tick(), frame->signal->message, actions);
       carry_out(actions, {}, &*frame->signal);
       if (!good) return false;
     }
--- a/tests/circuits/audit_test.cpp
+++ b/tests/circuits/audit_test.cpp
@@ -92,15 +92,15 @@
   Message reset;
   reset.kind = Kind::rsc;
   reset.cic = 0;
-  reset.sequence = iam.heard + 1;
-  reset.heard = iam.sequence - 1;
+  reset.sequence = iam.received + 1;
+  reset.received = iam.sequence - 1;
   GroupActions actions;
-  EXPECT_TRUE(w.ends[kHigh].take(w.now, reset, actions));
+  EXPECT_TRUE(w.ends[kHigh].receive(w.now, reset, actions));
   EXPECT_TRUE(actions.empty());
   EXPECT_EQ(w.ends[kHigh].state(0), State::seized_out);
   reset.sequence += 1;
-  reset.heard += 1;  // ... and from one that had
-  EXPECT_TRUE(w.ends[kHigh].take(w.now, reset, actions));
+  reset.received += 1;  // ... and from one that had
+  EXPECT_TRUE(w.ends[kHigh].receive(w.now, reset, actions));
   EXPECT_EQ(w.ends[kHigh].state(0), State::idle);
 }
 
--- a/tests/circuits/model_test.cpp
+++ b/tests/circuits/model_test.cpp
@@ -129,11 +129,11 @@
       for (const Message& m : node.world.wire[end]) {
         out += static_cast<char>(m.kind);
         for (const std::uint64_t v : {std::uint64_t{m.cic}, std::uint64_t{m.count}, m.call,
-                                      std::uint64_t{m.sequence}, std::uint64_t{m.heard}})
+                                      std::uint64_t{m.sequence}, std::uint64_t{m.received}})
           out += static_cast<char>(v);
-        for (const CircuitStatus& word : m.words) {
+        for (const CircuitStatus& word : m.statuses) {
           out += static_cast<char>(word.state);
-          out += static_cast<char>(word.heard);
+          out += static_cast<char>(word.received);
           out += static_cast<char>(word.call);
         }
       }
@@ -200,7 +200,7 @@
 // ... and here a word that was said before ours was heard counts as a newer one.
 struct NoSequences : Group {
   using Group::Group;
-  [[nodiscard]] bool is_older(std::uint32_t /*heard*/, std::uint32_t /*sent*/) const override {
+  [[nodiscard]] bool is_older(std::uint32_t /*received*/, std::uint32_t /*sent*/) const override {
     return false;
   }
 };
--- a/tests/circuits/two_ends.h
+++ b/tests/circuits/two_ends.h
@@ -67,12 +67,12 @@
         f = Fate::over;
         ++not_sent;
         if (ends[1 - end].holds(x->call, false)) wrong("'not sent' for a call that runs at the far end");
-      } else if (const auto* v = std::get_if<Over>(&a)) {
+      } else if (const auto* v = std::get_if<Ended>(&a)) {
         Fate& f = calls[end][v->call];
-        const Fate before = v->stood ? Fate::stands : v->outgoing ? Fate::out : Fate::offered;
+        const Fate before = v->established ? Fate::stands : v->outgoing ? Fate::out : Fate::offered;
         if (f != before) wrong("a second end of a call");
         f = Fate::over;
-        if (v->stood && !v->told) {
+        if (v->established && !v->by_far_end) {
           ++cut;
           if (up && !cut_is_fair && ends[1 - end].holds(v->call, !v->outgoing))
             wrong("a call that stands at both ends was cut");
@@ -104,7 +104,7 @@
     const Message m = wire[to].front();
     wire[to].pop_front();
     GroupActions actions;
-    if (!ends[to].take(now, m, actions))
+    if (!ends[to].receive(now, m, actions))
       wrong(std::string("a message that breaks the rules: ") + name_of(m.kind));
     carry_out(to, actions);
     return true;
@@ -122,7 +122,7 @@
     for (auto& w : wire) w.clear();
     for (const std::size_t end : {0U, 1U}) {
       GroupActions actions;
-      ends[end].broken(now, actions);
+      ends[end].disconnected(now, actions);
       carry_out(end, actions);
     }
   }
--- a/tests/circuits/wire_test.cpp
+++ b/tests/circuits/wire_test.cpp
@@ -76,22 +76,22 @@
   w.ends[kLow].fingerprint(before);
   const auto refused = [&](Message m) {
     GroupActions actions;
-    EXPECT_FALSE(w.ends[kLow].take(w.now, m, actions)) << name_of(m.kind);
+    EXPECT_FALSE(w.ends[kLow].receive(w.now, m, actions)) << name_of(m.kind);
     EXPECT_TRUE(actions.empty());
     std::string after;
     w.ends[kLow].fingerprint(after);
     EXPECT_EQ(before, after);
   };
-  refused({.kind = Kind::iam, .cic = 4, .call = 9, .sequence = 1});              // beyond the group
-  refused({.kind = Kind::cqm, .cic = 3, .count = 2});                            // a range beyond it
-  refused({.kind = Kind::cqm, .cic = 1, .count = 0xffffffffU});                  // ... that wraps round
-  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 7});              // out of order
-  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 1, .heard = 5});  // heard what was not said
-  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .words = std::vector<CircuitStatus>(1)});
+  refused({.kind = Kind::iam, .cic = 4, .call = 9, .sequence = 1});                 // beyond the group
+  refused({.kind = Kind::cqm, .cic = 3, .count = 2});                               // a range beyond it
+  refused({.kind = Kind::cqm, .cic = 1, .count = 0xffffffffU});                     // ... that wraps round
+  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 7});                 // out of order
+  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 1, .received = 5});  // heard what was not said
+  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .statuses = std::vector<CircuitStatus>(1)});
   refused({.kind = Kind::blo, .cic = 0, .count = 0});
   // An id that is in use already is turned away on its circuit; the first one goes on.
   GroupActions actions;
-  EXPECT_TRUE(w.ends[kLow].take(w.now, {.kind = Kind::iam, .cic = 0, .call = 1, .sequence = 1}, actions));
+  EXPECT_TRUE(w.ends[kLow].receive(w.now, {.kind = Kind::iam, .cic = 0, .call = 1, .sequence = 1}, actions));
   EXPECT_EQ(std::get<Send>(actions.at(0)).message.kind, Kind::rel);
   EXPECT_TRUE(w.ends[kLow].holds(1, false));
 }
--- a/tests/fleet/controller_disk.h
+++ b/tests/fleet/controller_disk.h
@@ -43,8 +43,8 @@
     store.dir = settings_.store;
     store.fleet = settings_.fleet;
     store.owner = "n0";
-    store::Opened opened = store::Store::open(store);
-    ASSERT_TRUE(opened.store->write({{recovery::kStageRecord, stage}}, at, since_boot).ok()) << opened.why;
+    store::OpenResult opened = store::Store::open(store);
+    ASSERT_TRUE(opened.store->write({{recovery::kStageRecord, stage}}, at, since_boot).ok()) << opened.reason;
   }
   [[nodiscard]] std::string file() const { return settings_.store + "/store.db"; }
   void set_clock_back(Duration by) { settings_.wall_offset = -by; }
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -88,7 +88,7 @@
   store::StoreSettings where = store::settings(disk.settings.store);
   where.owner = "n0";
   {
-    store::Opened opened = store::Store::open(where);
+    store::OpenResult opened = store::Store::open(where);
     std::vector<store::Change> records{{std::string(kIncarnationKey), "1"}, {drift::kVoteRecord, ""}};
     while (records.size() < where.max_records) records.push_back({std::to_string(records.size()), "1"});
     ASSERT_TRUE(opened.store->write(records, clocks::WallTime{}).ok());
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -18,7 +18,7 @@
 // yes to.
 void play(const StoreSettings& s, volatile int& acked, const std::function<void(int)>& on_ack = {}) {
   for (int i = 1; i <= kBatches;) {
-    Opened o = Store::open(s);
+    OpenResult o = Store::open(s);
     if (!o.store) return;
     do {
       if (!o.store->write(batch(i), WallTime{Duration{i}}).ok()) return;
@@ -30,8 +30,8 @@
 
 // What is in the folder is the state after `acked` batches, or one more.
 void expect_old_or_new(const std::string& dir, int acked, const std::string& at) {
-  const Opened o = Store::open(settings(dir));
-  ASSERT_TRUE(o.how == How::opened || (o.how == How::fresh && acked == 0)) << at << ": " << o.why;
+  const OpenResult o = Store::open(settings(dir));
+  ASSERT_TRUE(o.how == How::opened || (o.how == How::fresh && acked == 0)) << at << ": " << o.reason;
   const State found = state_of(o);
   EXPECT_TRUE(found == after(acked) || found == after(acked + 1)) << at << ": mixed or lost, after " << acked;
 }
@@ -177,8 +177,8 @@
     points.act = {};
     const std::string where = "point " + std::to_string(at);
     expect_old_or_new(s.dir, acked, where);
-    Opened again = Store::open(s);
-    ASSERT_TRUE(again.store) << where << ": " << again.why;
+    OpenResult again = Store::open(s);
+    ASSERT_TRUE(again.store) << where << ": " << again.reason;
     EXPECT_TRUE(again.store->write(batch(1), WallTime{}).ok()) << where;
   }
   EXPECT_GT(told, total / 4);
@@ -193,15 +193,15 @@
   FaultyVfs vfs;
   StoreSettings s = settings(temp / "s");
   s.vfs = FaultyVfs::name;
-  Opened o = Store::open(s);
+  OpenResult o = Store::open(s);
   ASSERT_TRUE(o.store);
   for (int i = 1; i <= kBatches; ++i) {
     int point = 0;
     vfs.hook = [&](const FileStep& step) {
       return step.what != "read" && step.before && ++point == i ? SQLITE_FULL : SQLITE_OK;
     };
-    const Written failed = o.store->write(batch(i), WallTime{});
-    EXPECT_TRUE(failed.ok() || failed.why == Why::full) << failed.text;
+    const WriteResult failed = o.store->write(batch(i), WallTime{});
+    EXPECT_TRUE(failed.ok() || failed.code == ErrorCode::full) << failed.text;
     vfs.hook = {};
     EXPECT_TRUE(o.store->write(batch(i), WallTime{}).ok());
   }
@@ -214,22 +214,22 @@
   const ::pid_t child = ::fork();
   if (child == 0) {
     ::signal(SIGXFSZ, SIG_IGN);
-    Opened o = Store::open(settings(temp / "s"));
+    OpenResult o = Store::open(settings(temp / "s"));
     const ::rlimit limit{60000, 60000};
     if (!o.store || ::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(1);
     int i = 1;
-    Written w;
+    WriteResult w;
     while (
         i < 50 &&
         (w = o.store->write({{std::string("k").append(std::to_string(i)), value(i, 9000)}}, WallTime{})).ok())
       ++i;
-    ::_exit(w.why == Why::full || w.why == Why::io ? 10 + i : 2);
+    ::_exit(w.code == ErrorCode::full || w.code == ErrorCode::io ? 10 + i : 2);
   }
   int status = 0;
   ASSERT_EQ(::waitpid(child, &status, 0), child);
   ASSERT_TRUE(WIFEXITED(status));
   ASSERT_GT(WEXITSTATUS(status), 10);
-  EXPECT_EQ(Store::open(settings(temp / "s")).kept.size(),
+  EXPECT_EQ(Store::open(settings(temp / "s")).records.size(),
             static_cast<std::size_t>(WEXITSTATUS(status) - 11));
 }
 
--- a/tests/store/damage_test.cpp
+++ b/tests/store/damage_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 void write_batches(const std::string& dir, int from, int to) {
-  Opened o = Store::open(settings(dir));
-  ASSERT_TRUE(o.store) << o.why;
+  OpenResult o = Store::open(settings(dir));
+  ASSERT_TRUE(o.store) << o.reason;
   for (int i = from; i <= to; ++i) ASSERT_TRUE(o.store->write(batch(i), WallTime{Duration{i}}).ok());
 }
 
@@ -31,7 +31,7 @@
   // sum.
   State before = after(9), then = after(12);
   const auto write_many = [&](int seed, int every, State& state) {
-    Opened o = Store::open(settings(temp / "s"));
+    OpenResult o = Store::open(settings(temp / "s"));
     std::vector<Change> changes;
     for (int i = 0; i < 60; i += every) {
       changes.push_back({std::string("many-").append(std::to_string(i)), value(seed + i, 300)});
@@ -74,7 +74,7 @@
   s.checkpoint_pages = 1000;
   std::vector<State> allowed;
   {
-    Opened o = Store::open(s);
+    OpenResult o = Store::open(s);
     ASSERT_TRUE(o.store);
     for (int i = 1; i <= 6; ++i) ASSERT_TRUE(o.store->write(batch(i), WallTime{}).ok());
     copy_folder(temp / "s", temp / "whole");
@@ -96,9 +96,9 @@
   // The file is gone and its log is not; and one store's log beside another's file.
   copy_folder(temp / "whole", temp / "d");
   fs::remove(temp / "d/store.db");
-  const Opened lost = Store::open(settings(temp / "d"));
+  const OpenResult lost = Store::open(settings(temp / "d"));
   EXPECT_EQ(lost.how, How::set_aside);
-  EXPECT_EQ(slurp(lost.where + "-wal"), log);
+  EXPECT_EQ(slurp(lost.aside_path + "-wal"), log);
   write_batches(temp / "other", 1, 12);
   fs::copy(temp / "whole/store.db-wal", temp / "other/store.db-wal");
   allowed.push_back(after(12));
@@ -111,10 +111,10 @@
   for (int n = 1; n <= 3; ++n) {
     const std::string text = "not a database, " + std::to_string(n) + std::string(5000, 'x');
     spit(temp / "s/store.db", text);
-    const Opened o = Store::open(settings(temp / "s"));
-    EXPECT_EQ(o.how, How::set_aside) << o.why;
-    EXPECT_EQ(o.where, temp / "s/store.db.aside-" + std::to_string(n));
-    EXPECT_EQ(slurp(o.where), text);
+    const OpenResult o = Store::open(settings(temp / "s"));
+    EXPECT_EQ(o.how, How::set_aside) << o.reason;
+    EXPECT_EQ(o.aside_path, temp / "s/store.db.aside-" + std::to_string(n));
+    EXPECT_EQ(slurp(o.aside_path), text);
   }
   const std::string file = temp / "s/store.db";
   for (const char* sql : {"PRAGMA user_version=7", "PRAGMA application_id=7", "CREATE TABLE more(x)",
@@ -125,9 +125,9 @@
     ASSERT_EQ(sqlite3_open(file.c_str(), &db), SQLITE_OK);
     ASSERT_EQ(sqlite3_exec(db, sql, nullptr, nullptr, nullptr), SQLITE_OK) << sql;
     sqlite3_close(db);
-    const Opened o = Store::open(settings(temp / "s"));
+    const OpenResult o = Store::open(settings(temp / "s"));
     EXPECT_EQ(o.how, How::set_aside) << sql;
-    EXPECT_TRUE(fs::exists(o.where));
+    EXPECT_TRUE(fs::exists(o.aside_path));
   }
 }
 
--- a/tests/store/hanging_disk_test.cpp
+++ b/tests/store/hanging_disk_test.cpp
@@ -57,12 +57,12 @@
 
 TEST(HangingDisk, IsReportedOnceAndWithItsDurationAndNothingInItIsDurable) {
   HangingCase c;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.hang_at_each_call();
   AsyncStore keeper(c.store, std::move(opened), c.keeper);
   keeper.put("a", "1");
   ASSERT_TRUE(keeper.flush(kLong));
-  const std::uint64_t kept = keeper.kept();
+  const std::uint64_t kept = keeper.durable_up_to();
   c.gate.close();
   const std::uint64_t in_hand = keeper.put("a", "2");
   ASSERT_TRUE(c.gate.is_met());
@@ -74,7 +74,7 @@
   c.wait_for_looks(10);
   const std::uint64_t later = keeper.put("b", "1");
   EXPECT_NE(later, 0u);
-  EXPECT_EQ(keeper.kept(), kept);
+  EXPECT_EQ(keeper.durable_up_to(), kept);
   EXPECT_FALSE(keeper.is_durable("a", in_hand));
   EXPECT_FALSE(keeper.is_durable("b", later));
   EXPECT_TRUE(keeper.counts().failing);
@@ -92,7 +92,7 @@
 TEST(HangingDisk, IsReportedWhereTheStoreIsBeingOpened) {
   HangingCase c;
   c.vfs.hook = [](const FileStep&) { return SQLITE_CANTOPEN; };
-  Opened failed = Store::open(c.store);
+  OpenResult failed = Store::open(c.store);
   ASSERT_EQ(failed.how, How::failed);
   c.hang_at_each_call();
   c.gate.close();
@@ -101,7 +101,7 @@
   ASSERT_TRUE(c.gate.is_met());
   c.seconds += 5;
   c.expect(Kind::hanging);
-  EXPECT_LT(keeper.kept(), number);
+  EXPECT_LT(keeper.durable_up_to(), number);
   c.gate.open();
   c.expect(Kind::returned);
   EXPECT_TRUE(keeper.flush(kLong)) << c.heard.text();
@@ -111,7 +111,7 @@
 int live_with_hanging_call(int nth) {
   constexpr int kBatches = 4;
   HangingCase c;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   std::atomic<int> calls{0};
   c.vfs.hook = [&](const FileStep& step) {
     if (step.before && ++calls == nth) {
@@ -126,13 +126,13 @@
       std::uint64_t last = 0;
       for (const Change& change : batch(i))
         last = change.value ? keeper.put(change.key, *change.value) : keeper.erase(change.key);
-      while (keeper.kept() < last) {
+      while (keeper.durable_up_to() < last) {
         std::this_thread::yield();
         if (nth == 0 || calls != nth || c.heard.count(Kind::hanging) > 0) continue;
         EXPECT_TRUE(c.gate.is_met()) << "call " << nth;
         c.seconds += 5;
         c.expect(Kind::hanging);
-        EXPECT_LT(keeper.kept(), last) << "call " << nth;
+        EXPECT_LT(keeper.durable_up_to(), last) << "call " << nth;
         c.gate.open();
       }
     }
@@ -166,7 +166,7 @@
   SCOPED_TRACE(call + " of " + file);
   HangingCase c;
   c.keeper.shutdown_timeout = 1ms;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   std::atomic<bool> hangs{false};
   c.vfs.hook = [&](const FileStep& step) {
     if (hangs && step.before && step.what == call && step.file == c.store.dir + file) c.gate.pass();
--- a/tests/store/heard.h
+++ b/tests/store/heard.h
@@ -63,7 +63,7 @@
     keeper.first_retry = std::chrono::milliseconds(1);
     keeper.last_retry = std::chrono::milliseconds(8);
     keeper.shutdown_timeout = kLong;
-    keeper.told = [this](const AsyncStoreEvent& e) { heard(e); };
+    keeper.on_event = [this](const AsyncStoreEvent& e) { heard(e); };
   }
   AsyncStoreEvent expect(AsyncStoreEvent::Kind kind) {
     bool found = false;
--- a/tests/store/judge.h
+++ b/tests/store/judge.h
@@ -13,15 +13,15 @@
 // Opens the damaged folder: one of `allowed`, or set aside with the bytes kept.
 inline void judge(const std::string& dir, const std::vector<State>& allowed, const std::string& file,
                   const std::string& bytes, const std::string& at, Tally& tally) {
-  const Opened o = Store::open(settings(dir));
-  ASSERT_TRUE(o.store) << at << ": " << o.why;
+  const OpenResult o = Store::open(settings(dir));
+  ASSERT_TRUE(o.store) << at << ": " << o.reason;
   if (o.how == How::set_aside) {
     ++tally.aside;
-    tally.by_seal += o.why.find("sealed") != std::string::npos ? 1 : 0;
-    EXPECT_TRUE(o.kept.empty());
-    EXPECT_TRUE(fs::exists(o.where)) << at;
+    tally.by_seal += o.reason.find("sealed") != std::string::npos ? 1 : 0;
+    EXPECT_TRUE(o.records.empty());
+    EXPECT_TRUE(fs::exists(o.aside_path)) << at;
     const std::string end = file.substr(std::strlen("store.db"));
-    EXPECT_EQ(slurp(o.where + end), bytes) << at << ": not kept as it was";
+    EXPECT_EQ(slurp(o.aside_path + end), bytes) << at << ": not kept as it was";
     return;
   }
   ++tally.right;
--- a/tests/store/keeper_disk_test.cpp
+++ b/tests/store/keeper_disk_test.cpp
@@ -16,7 +16,7 @@
   c.keeper.clock = [&] {
     return std::chrono::steady_clock::time_point(std::chrono::seconds(seconds.load()));
   };
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     return full && s.what == "write" && s.before ? SQLITE_FULL : SQLITE_OK;
   };
@@ -24,11 +24,11 @@
   full = true;
   keeper.put("a", "1");
   keeper.put("b", "1");
-  EXPECT_EQ(c.expect(Kind::failed).why, Why::full);
+  EXPECT_EQ(c.expect(Kind::failed).code, ErrorCode::full);
   seconds += 61;
   const AsyncStoreEvent lasting = c.expect(Kind::lasting);
   EXPECT_EQ(lasting.lasted, 61s);
-  EXPECT_EQ(lasting.why, Why::full);
+  EXPECT_EQ(lasting.code, ErrorCode::full);
   EXPECT_EQ(lasting.waiting, 2u);
   EXPECT_GT(lasting.failures, 1u);
   seconds += 10;
@@ -48,7 +48,7 @@
 TEST(KeeperDisk, AStoreWhoseFilesStayDeadIsOpenedAnew) {
   Case c;
   std::atomic<bool> dead{false};
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     if (s.before && s.what == "open") dead = false;
     return dead && s.before && s.what != "read" ? SQLITE_IOERR : SQLITE_OK;
@@ -59,7 +59,7 @@
   dead = true;
   keeper.put("a", "2");
   ASSERT_TRUE(keeper.flush(kLong)) << c.heard.text();
-  EXPECT_EQ(c.expect(Kind::failed).why, Why::io);
+  EXPECT_EQ(c.expect(Kind::failed).code, ErrorCode::io);
   EXPECT_EQ(c.expect(Kind::opened).how, How::opened);
   EXPECT_GE(c.expect(Kind::written).failures, kReopenAfter);
 }
@@ -67,12 +67,12 @@
 TEST(KeeperDisk, WhatAReopeningFindsInAnEarlierStateIsWrittenAgain) {
   Case c;
   const std::string dir = c.store.dir;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   std::atomic<bool> spoil{false};
   std::atomic<std::uint64_t> kept_at_opening{99};
   const AsyncStore* watched = nullptr;
   c.vfs.hook = [&](const FileStep& s) {
-    if (watched != nullptr && s.before && s.what == "open") kept_at_opening = watched->kept();
+    if (watched != nullptr && s.before && s.what == "open") kept_at_opening = watched->durable_up_to();
     if (!spoil || s.what != "write" || !s.before) return SQLITE_OK;
     spoil = false;
     for (const char* name : {"/store.db", "/store.db-wal"}) {
@@ -105,7 +105,7 @@
 
 TEST(KeeperDisk, AValueOfAnEarlierLifeIsWrittenAgainWhereTheStoreIsLost) {
   Case c;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   ASSERT_TRUE(opened.store->write({{"vote", "7"}, {"other", "1"}}, clocks::WallTime{}).ok());
   std::atomic<bool> spoil{true};
   c.vfs.hook = [&](const FileStep& s) {
@@ -122,7 +122,7 @@
     ASSERT_TRUE(keeper.flush(kLong));
     const AsyncStoreEvent found = c.expect(Kind::opened);
     EXPECT_EQ(found.how, How::set_aside);
-    EXPECT_EQ(found.aside, c.store.dir + "/store.db.aside-1");
+    EXPECT_EQ(found.aside_path, c.store.dir + "/store.db.aside-1");
   }
   c.vfs.hook = {};
   EXPECT_EQ(state_of(Store::open(c.store)), (State{{"a", "1"}, {"vote", "7"}}));
@@ -133,10 +133,10 @@
   ASSERT_TRUE(Store::open(c.store).store->write({{"a", "old"}}, clocks::WallTime{}).ok());
   std::atomic<bool> fails{true};
   c.vfs.hook = [&](const FileStep& s) { return fails && s.before ? SQLITE_CANTOPEN : SQLITE_OK; };
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   ASSERT_EQ(opened.how, How::failed);
-  std::vector<Kept> found;
-  c.keeper.found = [&](const std::vector<Kept>& records) { found = records; };
+  std::vector<StoredRecord> found;
+  c.keeper.on_records_found = [&](const std::vector<StoredRecord>& records) { found = records; };
   {
     AsyncStore keeper(c.store, std::move(opened), c.keeper);
     keeper.put("a", "new");
@@ -154,7 +154,7 @@
   Case c;
   c.store.max_log_bytes = 200'000;
   std::atomic<bool> fails{true};
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     const bool database = s.file.size() > 8 && s.file.compare(s.file.size() - 8, 8, "store.db") == 0;
     return fails && database && s.before && s.what == "write" ? SQLITE_IOERR_WRITE : SQLITE_OK;
@@ -175,7 +175,7 @@
 TEST(KeeperDisk, FilesThatAreNoLongerThoseOfTheFolderAreNotTakenForKept) {
   for (const char* gone : {"/store.db", "/store.db-wal", ""}) {
     Case c;
-    Opened opened = Store::open(c.store);
+    OpenResult opened = Store::open(c.store);
     {
       AsyncStore keeper(c.store, std::move(opened), c.keeper);
       keeper.put("a", "1");
--- a/tests/store/keeper_each_call_test.cpp
+++ b/tests/store/keeper_each_call_test.cpp
@@ -40,7 +40,7 @@
   };
   const std::string where = "errno " + std::to_string(failure.error) + ", call " + std::to_string(nth);
   {
-    Opened opened = Store::open(c.store);
+    OpenResult opened = Store::open(c.store);
     AsyncStore keeper(c.store, std::move(opened), c.keeper);
     for (int i = 1; i <= kBatches; ++i) {
       std::uint64_t last = 0;
@@ -48,18 +48,18 @@
         last = change.value ? keeper.put(change.key, *change.value) : keeper.erase(change.key);
       for (int waits = 0; waits < 3000 && !keeper.flush(10ms); ++waits) {
         if (failure.calls > 0 || keeper.counts().failures < 4 || repaired) continue;
-        EXPECT_LT(keeper.kept(), last) << where << ": kept on a disk that refuses";
+        EXPECT_LT(keeper.durable_up_to(), last) << where << ": kept on a disk that refuses";
         repaired = true;
       }
-      EXPECT_GE(keeper.kept(), last) << where;
+      EXPECT_GE(keeper.durable_up_to(), last) << where;
     }
     EXPECT_FALSE(keeper.counts().failing) << where;
     repaired = true;
   }
   EXPECT_EQ(c.heard.count(Kind::failed), c.heard.count(Kind::written)) << where << "\n" << c.heard.text();
   c.vfs.hook = {};
-  const Opened found = Store::open(c.store);
-  EXPECT_EQ(found.how, How::opened) << where << ": " << found.why;
+  const OpenResult found = Store::open(c.store);
+  EXPECT_EQ(found.how, How::opened) << where << ": " << found.reason;
   EXPECT_TRUE(state_of(found) == after(kBatches)) << where;
   return calls;
 }
--- a/tests/store/keeper_test.cpp
+++ b/tests/store/keeper_test.cpp
@@ -14,13 +14,13 @@
   Case c;
   std::mutex disk;
   std::atomic<bool> stands{false};
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep&) {
     stands = true;
     const std::lock_guard wait(disk);
     return SQLITE_OK;
   };
-  c.keeper.most_bytes = 100000;
+  c.keeper.max_bytes = 100000;
   c.keeper.max_keys = 5;
   {
     std::unique_lock stop(disk);
@@ -35,7 +35,7 @@
       last = number;
     }
     keeper.erase("k0");
-    EXPECT_EQ(keeper.kept(), 0u);
+    EXPECT_EQ(keeper.durable_up_to(), 0u);
     EXPECT_FALSE(keeper.flush(1ms));
     EXPECT_EQ(keeper.put("big", std::string(100001, 'x')), 0u);
     EXPECT_NE(keeper.put("k1", std::string(90000, 'x')), 0u);
@@ -48,7 +48,7 @@
     stop.unlock();
     EXPECT_TRUE(keeper.flush(kLong));
     EXPECT_EQ(keeper.counts().batches, 2u);
-    EXPECT_EQ(keeper.kept(), 3004u);
+    EXPECT_EQ(keeper.durable_up_to(), 3004u);
     keeper.put("last", "word");  // written by the end
   }
   c.vfs.hook = {};
@@ -60,7 +60,7 @@
 TEST(AsyncStore, AFullDiskIsToldOnceAndTriedAgainUntilItIsWell) {
   Case c;
   std::atomic<bool> full{false};
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   c.vfs.hook = [&](const FileStep& s) {
     return full && s.what == "write" && s.before ? SQLITE_FULL : SQLITE_OK;
   };
@@ -69,24 +69,24 @@
   ASSERT_TRUE(keeper.flush(kLong));
   full = true;
   keeper.put("a", "2");
-  EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).why, Why::full);
+  EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).code, ErrorCode::full);
   for (int i = 0; i < 3000 && keeper.counts().failures < 4; ++i) ::usleep(10000);
   EXPECT_GE(keeper.counts().failures, 4u);
   EXPECT_TRUE(keeper.counts().failing);
   const std::uint64_t number = keeper.put("a", "3");
-  EXPECT_LT(keeper.kept(), number);
+  EXPECT_LT(keeper.durable_up_to(), number);
   full = false;
   c.expect(AsyncStoreEvent::Kind::written);
   ASSERT_TRUE(keeper.flush(kLong));
   EXPECT_EQ(c.heard.count(AsyncStoreEvent::Kind::failed), 1u);
   EXPECT_FALSE(keeper.counts().failing);
-  EXPECT_GE(keeper.kept(), number);
+  EXPECT_GE(keeper.durable_up_to(), number);
 }
 
 TEST(AsyncStore, WhatComesWhileAFailingBatchIsInHandIsNewerAndNoByteIsCountedTwice) {
   Case c;
-  c.keeper.most_bytes = 1000;
-  Opened opened = Store::open(c.store);
+  c.keeper.max_bytes = 1000;
+  OpenResult opened = Store::open(c.store);
   std::mutex disk;
   std::atomic<bool> stands{false}, fails{true};
   c.vfs.hook = [&](const FileStep& s) {
@@ -114,13 +114,13 @@
 
 TEST(AsyncStore, AStoreThatAnotherHasIsTakenWhenItLetsGo) {
   Case c;
-  Opened first = Store::open(c.store);
-  Opened second = Store::open(c.store);
+  OpenResult first = Store::open(c.store);
+  OpenResult second = Store::open(c.store);
   ASSERT_EQ(second.how, How::refused);
   AsyncStore keeper(c.store, std::move(second), c.keeper);
   keeper.put("a", "mine");
   const AsyncStoreEvent failed = c.expect(AsyncStoreEvent::Kind::failed);
-  EXPECT_EQ(failed.why, Why::disputed);
+  EXPECT_EQ(failed.code, ErrorCode::locked);
   first.store.reset();
   EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::opened);
   EXPECT_TRUE(keeper.flush(kLong));
@@ -128,7 +128,7 @@
 
 TEST(AsyncStore, DamageThatShowsWhileItRunsIsSetAsideAndAllIsWrittenAgain) {
   Case c;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   std::atomic<bool> spoil{false};
   c.vfs.hook = [&](const FileStep& s) {
     if (!spoil || s.what != "write" || !s.before) return SQLITE_OK;
@@ -147,7 +147,7 @@
     ASSERT_TRUE(keeper.flush(kLong));
     spoil = true;
     keeper.put("b", "2");
-    EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).why, Why::damaged);
+    EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).code, ErrorCode::damaged);
     EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::set_aside);
     ASSERT_TRUE(keeper.flush(kLong));
     EXPECT_TRUE(fs::exists(c.store.dir + "/store.db.aside-1"));
--- a/tests/store/points.h
+++ b/tests/store/points.h
@@ -10,7 +10,7 @@
 namespace reeltack::store {
 
 // Counts every point of both kinds and does at each what the test wants.
-struct Points : Faults {
+struct Points : FaultInjector {
   explicit Points(FaultyVfs& vfs) {
     vfs.hook = [this](const FileStep& s) {
       return s.what == "read" && !reads ? SQLITE_OK : visit(s.what, s.before);
--- a/tests/store/read_only_test.cpp
+++ b/tests/store/read_only_test.cpp
@@ -17,7 +17,7 @@
 const State kHeld{{"members", "n0,n1"}, {"vote", "7"}};
 
 // Refuses what would change a file, by the errno that the machine gives for it.
-struct ReadOnlyDisk : Faults {
+struct ReadOnlyDisk : FaultInjector {
   ReadOnlyDisk(FaultyVfs& vfs, int error, bool lock_too) : error_(error), lock_too_(lock_too) {
     vfs.hook = [this](const FileStep& step) {
       const bool changes = step.what != "open" && step.what != "read";
@@ -40,7 +40,7 @@
   killed.dir = where.dir + ".running";
   killed.vfs.clear();
   killed.faults = nullptr;
-  Opened opened = Store::open(killed);
+  OpenResult opened = Store::open(killed);
   ASSERT_TRUE(opened.store->write({{"members", "n0"}, {"vote", "7"}}, WallTime{}).ok());
   ASSERT_TRUE(opened.store->write({{"members", "n0,n1"}}, WallTime{}).ok());
   copy_folder(killed.dir, where.dir);
@@ -60,23 +60,23 @@
   leave_store(c.store);
   const std::string file = slurp(c.store.dir + "/store.db"), log = slurp(c.store.dir + "/store.db-wal");
   disk.read_only = true;
-  Opened opened = open_or_read(c.store);
-  EXPECT_EQ(opened.how, How::read_only) << opened.why;
+  OpenResult opened = open_or_read(c.store);
+  EXPECT_EQ(opened.how, How::read_only) << opened.reason;
   EXPECT_EQ(opened.store, nullptr);
   EXPECT_EQ(state_of(opened), kHeld);
   EXPECT_EQ(opened.foreign, 0u);
-  EXPECT_FALSE(opened.why.empty());
+  EXPECT_FALSE(opened.reason.empty());
   EXPECT_EQ(slurp(c.store.dir + "/store.db"), file);
   EXPECT_EQ(slurp(c.store.dir + "/store.db-wal"), log);
 
   State found;
-  c.keeper.found = [&](const std::vector<Kept>& records) {
-    for (const Kept& record : records) found[record.key] = record.value;
+  c.keeper.on_records_found = [&](const std::vector<StoredRecord>& records) {
+    for (const StoredRecord& record : records) found[record.key] = record.value;
   };
   {
     AsyncStore keeper(c.store, std::move(opened), c.keeper);
     const std::uint64_t number = keeper.put("vote", "8");
-    EXPECT_EQ(c.expect(Kind::failed).why, Why::io);
+    EXPECT_EQ(c.expect(Kind::failed).code, ErrorCode::io);
     EXPECT_FALSE(keeper.is_durable("vote", number));
     disk.read_only = false;
     EXPECT_TRUE(keeper.flush(kLong)) << c.heard.text();
@@ -91,14 +91,14 @@
 TEST(StoreReadOnly, AStoreThatAnotherProcessIsWritingIsNotRead) {
   Case c;
   ReadOnlyDisk disk(c.vfs, EACCES, true);
-  Opened running = Store::open(c.store);
+  OpenResult running = Store::open(c.store);
   ASSERT_TRUE(running.store->write({{"a", "1"}}, WallTime{}).ok());
   c.store.faults = &disk;
   disk.read_only = true;
-  const Opened opened = open_or_read(c.store);
+  const OpenResult opened = open_or_read(c.store);
   EXPECT_EQ(opened.how, How::failed);
-  EXPECT_TRUE(opened.kept.empty());
-  EXPECT_NE(opened.why.find("is locked"), std::string::npos) << opened.why;
+  EXPECT_TRUE(opened.records.empty());
+  EXPECT_NE(opened.reason.find("is locked"), std::string::npos) << opened.reason;
   disk.read_only = false;
 }
 
@@ -113,9 +113,9 @@
   fs::remove(c.store.dir + "/store.db-wal");
   for (const std::string& bytes : {std::string(8192, 'x'), whole.substr(0, 100), std::string()}) {
     spit(c.store.dir + "/store.db", bytes);
-    const Opened opened = open_or_read(c.store);
+    const OpenResult opened = open_or_read(c.store);
     EXPECT_EQ(opened.how, How::failed) << bytes.size();
-    EXPECT_TRUE(opened.kept.empty());
+    EXPECT_TRUE(opened.records.empty());
     EXPECT_EQ(slurp(c.store.dir + "/store.db"), bytes);
   }
   spit(c.store.dir + "/store.db-wal", log);  // without its file
@@ -134,7 +134,7 @@
   const ::pid_t child = ::fork();
   if (child == 0) {
     if (::getuid() == 0 && (::setgid(65534) != 0 || ::setuid(65534) != 0)) ::_exit(2);
-    const Opened opened = open_or_read(settings(temp / "s"));
+    const OpenResult opened = open_or_read(settings(temp / "s"));
     ::_exit(opened.how == How::read_only && !opened.store && state_of(opened) == kHeld ? 0 : 1);
   }
   int status = 0;
--- a/tests/store/record_bound_test.cpp
+++ b/tests/store/record_bound_test.cpp
@@ -32,27 +32,27 @@
   const BatchSplit parts =
       divide_at(3, {"a", "b"}, {{"e", "1"}, {"a", "1"}, {"d", "1"}, {"c", "1"}, {"b", "1"}});
   EXPECT_EQ(keys_of(parts.fits), "e a b ");
-  EXPECT_EQ(keys_of(parts.left), "d c ");
+  EXPECT_EQ(keys_of(parts.deferred), "d c ");
 }
 
 TEST(RecordBound, AnErasureMakesRoomForAKeyOfTheSameBatch) {
   const BatchSplit parts =
       divide_at(2, {"a", "b"}, {{"c", "1"}, {"d", "1"}, {"a", std::nullopt}, {"gone", std::nullopt}});
   EXPECT_EQ(keys_of(parts.fits), "c -a -gone ");
-  EXPECT_EQ(keys_of(parts.left), "d ");
+  EXPECT_EQ(keys_of(parts.deferred), "d ");
 }
 
 TEST(RecordBound, AStoreOverItsBoundIsOverwrittenAndErasedFromAllTheSame) {
   const BatchSplit parts =
       divide_at(1, {"a", "b", "c"}, {{"d", "1"}, {"a", "1"}, {"b", std::nullopt}, {"c", std::nullopt}});
   EXPECT_EQ(keys_of(parts.fits), "a -b -c ");
-  EXPECT_EQ(keys_of(parts.left), "d ");
+  EXPECT_EQ(keys_of(parts.deferred), "d ");
 }
 
 TEST(RecordBound, WhatFitsIsDurableAndTheRestWaitsUntilARecordIsErased) {
   Case c;
   c.store.max_records = 3;
-  Opened opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store);
   ASSERT_TRUE(opened.store->write({{"a", "0"}, {"b", "0"}}, WallTime{}).ok());
   {
     AsyncStore keeper(c.store, std::move(opened), c.keeper);
@@ -64,9 +64,9 @@
     EXPECT_TRUE(becomes_durable(keeper, "a", promise)) << c.heard.text();
     EXPECT_FALSE(keeper.is_durable("d", second));
     EXPECT_FALSE(keeper.is_durable("e", third));
-    EXPECT_EQ(keeper.kept(), second - 1);
+    EXPECT_EQ(keeper.durable_up_to(), second - 1);
     const AsyncStoreEvent failed = c.expect(Kind::failed);
-    EXPECT_EQ(failed.why, Why::full);
+    EXPECT_EQ(failed.code, ErrorCode::full);
     EXPECT_NE(failed.text.find("over its bound of 3 records"), std::string::npos) << failed.text;
     EXPECT_TRUE(keeper.counts().failing);
 
@@ -87,13 +87,13 @@
   constexpr std::size_t kStored = 3000, kPut = 4095;
   Case c;
   {
-    Opened earlier = Store::open(c.store);
+    OpenResult earlier = Store::open(c.store);
     std::vector<Change> records{{"promise", "old"}};
     while (records.size() < kStored) records.push_back({"old-" + std::to_string(records.size()), "1"});
     ASSERT_TRUE(earlier.store->write(records, WallTime{}).ok());
   }
-  Opened running = Store::open(c.store);
-  Opened refused = Store::open(c.store);
+  OpenResult running = Store::open(c.store);
+  OpenResult refused = Store::open(c.store);
   ASSERT_EQ(refused.how, How::refused);
   {
     AsyncStore keeper(c.store, std::move(refused), c.keeper);
@@ -102,11 +102,11 @@
     ASSERT_NE(promise, 0u);
     running.store.reset();
     EXPECT_TRUE(becomes_durable(keeper, "promise", promise)) << c.heard.text();
-    EXPECT_EQ(keeper.kept(), c.store.max_records - kStored);
+    EXPECT_EQ(keeper.durable_up_to(), c.store.max_records - kStored);
     EXPECT_EQ(keeper.counts().waiting, kPut - (c.store.max_records - kStored));
   }
-  const Opened found = Store::open(c.store);
-  EXPECT_EQ(found.kept.size(), c.store.max_records);
+  const OpenResult found = Store::open(c.store);
+  EXPECT_EQ(found.records.size(), c.store.max_records);
   EXPECT_EQ(state_of(found).at("promise"), "new");
 }
 
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kBootBytes = 24;  // its name, and the time since it
 constexpr std::size_t kSumBytes = 8;
 
-Kept record() {
-  Kept out;
+StoredRecord record() {
+  StoredRecord out;
   out.key = "key";
   out.value = "value";
   out.fleet = "fleet-1";
@@ -31,9 +31,9 @@
 }
 
 TEST(StoreRecord, IsReadAsItWasWritten) {
-  std::string why;
-  const std::optional<Kept> read = decode("key", encode(record()), why);
-  ASSERT_TRUE(read) << why;
+  std::string reason;
+  const std::optional<StoredRecord> read = decode("key", encode(record()), reason);
+  ASSERT_TRUE(read) << reason;
   EXPECT_EQ(read->value, "value");
   EXPECT_EQ(read->fleet + " " + read->owner, "fleet-1 n0");
   EXPECT_EQ(read->format, 3);
@@ -47,9 +47,9 @@
   body.resize(body.size() - kSumBytes);
   body.erase(kBootAt, kBootBytes);
   body[0] = 1;
-  std::string why;
-  const std::optional<Kept> read = decode("key", with_sum(body), why);
-  ASSERT_TRUE(read) << why;
+  std::string reason;
+  const std::optional<StoredRecord> read = decode("key", with_sum(body), reason);
+  ASSERT_TRUE(read) << reason;
   EXPECT_EQ(read->value, "value");
   EXPECT_EQ(read->fleet + " " + read->owner, "fleet-1 n0");
   EXPECT_EQ(read->written_at, record().written_at);
@@ -59,15 +59,15 @@
 TEST(StoreRecord, OfAnUnknownFormOrCutShortIsNone) {
   std::string body = encode(record());
   body.resize(body.size() - kSumBytes);
-  std::string why;
+  std::string reason;
   for (const char form : {'\0', '\3'}) {
     body[0] = form;
-    EXPECT_FALSE(decode("key", with_sum(body), why));
-    EXPECT_NE(why.find("has form"), std::string::npos) << why;
+    EXPECT_FALSE(decode("key", with_sum(body), reason));
+    EXPECT_NE(reason.find("has form"), std::string::npos) << reason;
   }
   body[0] = 2;
   for (std::size_t length = 0; length < kBootAt + kBootBytes; ++length)
-    EXPECT_FALSE(decode("key", with_sum(body.substr(0, length)), why)) << length;
+    EXPECT_FALSE(decode("key", with_sum(body.substr(0, length)), reason)) << length;
 }
 
 }  // namespace
--- a/tests/store/script.h
+++ b/tests/store/script.h
@@ -18,7 +18,7 @@
 namespace fs = std::filesystem;
 using State = std::map<std::string, std::string>;
 using clocks::WallTime;
-using How = Opened::How;
+using How = OpenResult::How;
 
 class TempDir {
  public:
@@ -72,9 +72,9 @@
   }
   return s;
 }
-inline State state_of(const Opened& opened) {
+inline State state_of(const OpenResult& opened) {
   State s;
-  for (const Kept& k : opened.kept) s[k.key] = k.value;
+  for (const StoredRecord& k : opened.records) s[k.key] = k.value;
   return s;
 }
 
--- a/tests/store/sync_failure_test.cpp
+++ b/tests/store/sync_failure_test.cpp
@@ -58,7 +58,7 @@
   FaultyVfs vfs_;
   Points points_;
   StoreSettings settings_;
-  Opened opened_;
+  OpenResult opened_;
   int first_ = 0, end_ = 0, syncs_ = 0;
 };
 
@@ -74,11 +74,11 @@
     failed = failed || trace[end - 1].kind == FileChange::Kind::failed_sync;
     for (int kind = 0; failed && kind < 4; ++kind) {
       build_disk(disk, trace, end, kind, draw);
-      const Opened found = Store::open(settings(disk));
+      const OpenResult found = Store::open(settings(disk));
       const std::string where =
           at + ", change " + std::to_string(end) + ", disk " + std::to_string(kind) + ": ";
       EXPECT_TRUE(found.how == How::opened || (found.how == How::fresh && acknowledged == 0))
-          << where << found.why;
+          << where << found.reason;
       EXPECT_TRUE(state_of(found) == after(acknowledged) ||
                   (!just && state_of(found) == after(acknowledged + 1)))
           << where << "batch " << acknowledged << " was acknowledged and is not there";
--- a/tests/store/torn_record_test.cpp
+++ b/tests/store/torn_record_test.cpp
@@ -21,7 +21,7 @@
   TornCase() {
     StoreSettings where = settings(temp / "s");
     where.checkpoint_pages = 1000;  // the log is not carried over
-    Opened opened = Store::open(where);
+    OpenResult opened = Store::open(where);
     const auto write = [&](const std::string& text) {
       EXPECT_TRUE(opened.store->write({{"vote", text}, {"held", text}}, WallTime{}).ok());
     };
--- a/tests/system_calls/trunk_set_up_test.cpp
+++ b/tests/system_calls/trunk_set_up_test.cpp
@@ -52,7 +52,7 @@
   void take(const trunk::Signal& signal) {
     if (signal.message.kind == circuits::Kind::iam) set_ups.push_back(signal);
     circuits::GroupActions actions;
-    EXPECT_TRUE(group_.take(net::now(), signal.message, actions));
+    EXPECT_TRUE(group_.receive(net::now(), signal.message, actions));
     send(actions);
   }
   void send(const circuits::GroupActions& actions) {
--- a/tests/trunk/codec_fuzz.cpp
+++ b/tests/trunk/codec_fuzz.cpp
@@ -23,8 +23,8 @@
       const auto frame = trunk::decode(bytes, used);
       if (!frame) break;
       if (!frame->signal) continue;
-      if (!group.take(now, frame->signal->message, actions)) {
-        group.broken(now, actions);
+      if (!group.receive(now, frame->signal->message, actions)) {
+        group.disconnected(now, actions);
         group.connected(now, actions);
       }
       // This end has calls of its own meanwhile, and answers what it is offered.
