--- a/bench/circuits_figures.cpp
+++ b/bench/circuits_figures.cpp
@@ -1,6 +1,6 @@
-// The figures of trunk groups: cost of selection and of an audit by size, collisions by order of hunting, how
-// long stuck circuits stay, and what audits are worth. All but the costs are in virtual time and the same
-// each run.
+// Figures of trunk groups: cost of selection and of an audit by size, collisions by hunting order, how
+// long circuits stay stuck, and what audits are worth. All but the costs are in virtual time and equal
+// in each run.
 //
 //   build/circuits_figures
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 double ms(Duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
 
-// The mean cost of a seizure with its release on a group of which half is busy, in nanoseconds.
+// Mean cost of a seizure and its release on a group of which half is busy, in nanoseconds.
 double seizure_cost_ns(std::uint32_t size, load::Random& random) {
   World w(size, Hunting::opposite);
   w.run(w.now + 500ms, 0.0, 1s, random);
@@ -25,9 +25,9 @@
   GroupActions actions;
   std::uint64_t call = 1;
   for (; call <= size / 2; ++call) a.seize(w.now, call, actions);
-  constexpr int kTurns = 200000;
+  constexpr int kRounds = 200000;
   const auto begin = std::chrono::steady_clock::now();
-  for (int i = 0; i < kTurns; ++i) {
+  for (int i = 0; i < kRounds; ++i) {
     actions.clear();
     a.seize(w.now, ++call, actions);
     // Released and completed at once, as the far end would.
@@ -40,12 +40,12 @@
     done.sequence = static_cast<std::uint32_t>(i) + 1;  // the same circuit each time
     done.received = std::get<Send>(actions[1]).message.sequence;
     a.receive(w.now, done, actions);
-    if ((i & 1023) == 0) {  // its timers are void by now
+    if ((i & 1023) == 0) {  // its timers have been cancelled by now
       actions.clear();
       a.fire(w.now += 3s, actions);
     }
   }
-  return std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - begin).count() / kTurns;
+  return std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - begin).count() / kRounds;
 }
 
 struct AuditCost {
@@ -53,7 +53,7 @@
   std::uint64_t queries = 0;
   std::uint64_t bytes = 0;
 };
-// The mean cost of an audit of the whole group.
+// Mean cost of an audit of the whole group.
 AuditCost audit_cost(std::uint32_t size, load::Random& random) {
   World v(size, Hunting::opposite);
   v.run(v.now + 500ms, 0.0, 1s, random);
@@ -61,17 +61,17 @@
   constexpr int kAudits = 50;
   std::uint64_t queries = 0, bytes = 0;
   for (int i = 0; i < kAudits; ++i) {
-    GroupActions asked;
-    v.group(0).audit_now(v.now, asked);
-    for (std::size_t k = 0; k < asked.size(); ++k) {  // grows as each response asks for the next range
-      const auto* q = std::get_if<Send>(&asked[k]);
+    GroupActions queries_sent;
+    v.group(0).audit_now(v.now, queries_sent);
+    for (std::size_t k = 0; k < queries_sent.size(); ++k) {  // grows as each response asks for the next range
+      const auto* q = std::get_if<Send>(&queries_sent[k]);
       if (q == nullptr || q->message.kind != Kind::cqm) continue;
       ++queries;
-      GroupActions said;
-      v.group(1).receive(v.now, q->message, said);
-      const Message response = std::get<Send>(said[0]).message;
+      GroupActions answers;
+      v.group(1).receive(v.now, q->message, answers);
+      const Message response = std::get<Send>(answers[0]).message;
       bytes += response.statuses.size() * 16;
-      v.group(0).receive(v.now, response, asked);
+      v.group(0).receive(v.now, response, queries_sent);
     }
   }
   const double us =
--- a/bench/circuits_world.h
+++ b/bench/circuits_world.h
@@ -1,6 +1,5 @@
-// Two ends of a trunk group in virtual time, with a delay between them and callers at both.
-//
-// Equal draws give equal runs. Threads: one at a time.
+// Two ends of a trunk group in virtual time, with a delay between them and callers at both. Equal
+// random draws give equal runs. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +17,6 @@
 
 namespace reeltack::circuits {
 
-// Two ends with a delay between them, and callers at both.
 class World {
  public:
   World(std::uint32_t size, Hunting hunting, Duration confirm = std::chrono::seconds(1))
@@ -27,8 +25,8 @@
     connect();
   }
   Time now{std::chrono::seconds(1000)};
-  std::uint64_t calls = 0, established = 0, refused = 0, lost = 0;
-  // Both ends call at this rate until then; calls last `hold` in the mean.
+  std::uint64_t calls = 0, established = 0, refused = 0, dropped = 0;
+  // Both ends together make calls at `rate` per second until `until`; calls last `hold` on average.
   void run(Time until, double rate, Duration hold, load::Random& random) {
     Time next_call = rate > 0.0 ? now : Time::max();
     while (now < until) {
@@ -39,7 +37,7 @@
         place_call(hold, random);
         next_call = now + Duration{static_cast<Duration::rep>(load::exponential(random, 1e9 / rate))};
       }
-      if (watch_stuck_) look();
+      if (watch_stuck_) update_stuck();
     }
   }
   void connect() {
@@ -59,7 +57,7 @@
     }
     for (auto& w : wire_) w.clear();
   }
-  // One end forgets what it holds on part of its circuits while nothing can be said. Returns how many.
+  // While disconnected, one end forgets the calls on a part of its circuits. Returns how many.
   std::uint64_t forget(std::size_t end, double part, load::Random& random) {
     disconnect();
     std::uint64_t n = 0;
@@ -84,7 +82,8 @@
  private:
   static GroupSettings with(GroupSettings s, Duration confirm) {
     s.confirm_after = confirm;
-    if (confirm > std::chrono::hours(1)) s.audit_period = confirm;  // no second word: nothing is settled
+    if (confirm > std::chrono::hours(1))
+      s.audit_period = confirm;  // no confirming audit: nothing is resolved
     return s;
   }
   [[nodiscard]] Time next_event(Time limit) const {
@@ -127,8 +126,8 @@
     if (group(end).seize(now, call, actions) != Refusal::none) ++refused;
     carry_out(end, actions);
   }
-  // Strikes off what is no longer stuck: free at both ends, or with a new call known to both.
-  void look() {
+  // Removes circuits that are no longer stuck: free at both ends, or with a new call known to both.
+  void update_stuck() {
     for (auto it = stuck_.begin(); it != stuck_.end();) {
       const auto next = std::next(it);
       const bool free =
@@ -155,7 +154,7 @@
       }
       if (const auto* v = std::get_if<Ended>(&a);
           v != nullptr && v->established && v->outgoing && !v->by_far_end) {
-        ++lost;  // it was cut
+        ++dropped;  // dropped by a break, reset or audit
       }
     }
   }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,5 +1,5 @@
-// The store's figures: a durable write by size, the file after many overwrites, opening, memory, and what the
-// caller of the keeper waits. On the folder given, so on its disk.
+// Figures of the store: a durable write by size, the file size after many overwrites, opening, memory,
+// and the time that put() of the asynchronous store takes. Uses the given folder and so its disk.
 //
 //   build-test/store_bench [FOLDER]
 #include <stdlib.h>
@@ -30,7 +30,7 @@
               ms.back());
 }
 
-// Of this process, in KiB: its own pages and those of files, which can be dropped.
+// Prints the memory of this process in KiB: anonymous pages, and file pages, which can be dropped.
 void memory(const char* when) {
   std::ifstream in("/proc/self/status");
   std::printf("%-34s", when);
@@ -99,15 +99,15 @@
   std::vector<double> put;
   store::AsyncStoreCounts counts;
   {
-    store::AsyncStore keeper(settings, open(settings), {});
+    store::AsyncStore async_store(settings, open(settings), {});
     for (int i = 0; i < 100000; ++i) {
       const std::string name = key(i % 32);
       const auto from = Clock::now();
-      keeper.put(name, value(16, i));
+      async_store.put(name, value(16, i));
       put.push_back(ms_since(from));
     }
-    keeper.flush(std::chrono::seconds(30));
-    counts = keeper.counts();
+    async_store.flush(std::chrono::seconds(30));
+    counts = async_store.counts();
   }
   print("put on the keeper, disk at work", put);
   std::printf("%ju puts in %ju batches\n", static_cast<std::uintmax_t>(counts.taken),
--- a/src/circuits/group.h
+++ b/src/circuits/group.h
@@ -1,32 +1,35 @@
-// A trunk group: numbered circuits between two ends, either of which may seize any of them.
+// One end of a trunk group: numbered circuits between two ends, either of which may seize any of them.
 //
-// Owns: the state of each circuit at this end, their selection, dual seizure (glare), release, reset,
-// blocking,
-//   and the audits that compare this end's view with the far end's and settle what disagrees.
-// Must never: do I/O, read a clock, start a thread, or cut a call that both ends know.
+// Holds the state of each circuit at this end and covers selection, dual seizure (glare), release,
+// reset, blocking, and the audits that compare this end's view with the far end's and resolve
+// mismatches. Does no I/O, reads no clock, starts no thread, and never drops a call that both ends
+// know.
 //
-// After ISUP (ITU-T Q.764: 2.9.1 dual seizure, 2.8.2 blocking, 2.9.3 reset, 2.8.3 circuit group query; names
-// of messages after Q.763), with two things added for a wire that can break and come back:
+// Follows ISUP (ITU-T Q.764: 2.9.1 dual seizure, 2.8.2 blocking, 2.9.3 reset, 2.8.3 circuit group
+// query; message names from Q.763), with two additions for a connection that can break and come back:
 //
-// - Sequence numbers. Each end counts the messages it has sent on a circuit since the connection came up, and
-//   each message tells how many of the other end's it had heard. A message that had not heard this end's last
-//   message is older than that one, whatever the clocks say. So a reset that was decided before a
-//   seizure came does nothing to that seizure, and an audit's answer speaks only of circuits on which nothing
-//   is in flight. Messages of one connection arrive in order or not at all.
-// - A call stands without a connection. What had not been answered when the connection broke is over at both
-//   ends; what stood goes on, and is compared when the connection is back.
+// - Sequence numbers. Each end counts the messages it has sent on a circuit since the connection came
+//   up, and each message carries the number of messages received from the other end. A message sent
+//   before this end's last message was received is outdated, whatever the clocks say. So a reset that
+//   was decided before a seizure arrived does not affect that seizure, and the response to an audit is
+//   used only for circuits with no message in flight. Messages of one connection arrive in order or not
+//   at all.
+// - A call stays established without a connection. Calls that had not been answered when the connection
+//   broke are ended at both ends. Established calls continue and are compared when the connection is
+//   back.
 //
-// Dual seizure: the end with the higher signalling point code controls the circuits with even codes, the
-// other those with odd ones (Q.764, 2.9.1.4). Where both have seized a circuit, the controlling end's call
-// stands and the other end's has never run, whichever message comes first.
+// Dual seizure: the end with the higher signalling point code controls the circuits with even codes,
+// the other end those with odd codes (Q.764, 2.9.1.4). If both ends have seized a circuit, the call of
+// the controlling end proceeds and the other end's call has never existed at the far end, whichever
+// message arrives first.
 //
-// Takes events, returns actions, in order, to be carried out at once. Equal inputs give equal outputs.
-// Nothing is allocated by selection. Threads: one at a time.
+// Takes events and returns actions, to be executed in order and at once. Equal inputs give equal
+// outputs. Selection allocates no memory. Not thread-safe.
 //
-// One class in several files, by what it does: group.cpp (states of a circuit, calls of this end),
+// The class is implemented in several files: group.cpp (states of a circuit, calls of this end),
 // group_receive.cpp (messages of the far end), group_maintenance.cpp (blocking and lost circuits),
-// group_connection.cpp (connection and timers), group_audit.cpp (audits), group_inspection.cpp (what it
-// holds, for people and tests).
+// group_connection.cpp (connection and timers), group_audit.cpp (audits), group_inspection.cpp (state
+// for operators and tests).
 #pragma once
 
 #include <cstdint>
@@ -54,14 +57,14 @@
   Group& operator=(const Group&) = delete;
   Group& operator=(Group&&) = delete;
 
-  // ---- requests of the program
-  // Seizes a circuit for a call; what is sent is the iam, whose description is the program's own affair.
+  // ---- requests of the owner
+  // Seizes a circuit for a call and sends the iam; the owner adds the description of the call to it.
   Refusal seize(Time now, std::uint64_t call, GroupActions& actions);
-  void answer(Time now, std::uint64_t call, GroupActions& actions);  // of a call that came in
+  void answer(Time now, std::uint64_t call, GroupActions& actions);  // of an incoming call
   void release(Time now, std::uint64_t call, bool outgoing, int cause, GroupActions& actions);  // by this end
   void block(Time now, Cic first, std::uint32_t count, bool at_once, GroupActions& actions);
   void unblock(Time now, Cic first, std::uint32_t count, GroupActions& actions);
-  // The circuits themselves are lost (a departamento's lines) and come back; what was on them is over.
+  // The circuits themselves fail (a departamento's lines) and come back; their calls end.
   void lose(Time now, Cic first, std::uint32_t count, GroupActions& actions);
   void restore(Time now, Cic first, std::uint32_t count, GroupActions& actions);
   void audit_now(Time now, GroupActions& actions);
@@ -69,12 +72,12 @@
   // ---- events of the connection
   void connected(Time now, GroupActions& actions);
   void disconnected(Time now, GroupActions& actions);
-  // False: no end that keeps to the rules could have sent it; the connection must end.
+  // False if the message violates the protocol; the connection must then be closed.
   bool receive(Time now, const Message& message, GroupActions& actions);
-  void fire(Time now, GroupActions& actions);  // whatever is due
+  void fire(Time now, GroupActions& actions);  // runs all due timers
   [[nodiscard]] Time next_due() const;
 
-  // ---- what it holds
+  // ---- state
   enum class State : std::uint8_t {
     idle,
     seized_out,
@@ -84,7 +87,7 @@
     releasing,
     resetting
   };
-  // Events since this end began.
+  // Number of events since this object was created.
   struct Counts {
     std::uint64_t seized = 0, offered = 0, collisions = 0, glare_lost = 0, stale = 0, audits = 0;
     std::uint64_t suspects = 0, freed = 0, resets = 0, releases_again = 0;
@@ -100,20 +103,20 @@
   [[nodiscard]] bool holds(std::uint64_t call, bool outgoing) const {
     return calls_.contains(key(call, outgoing));
   }
-  // Of a circuit, for people: "standing-out", "idle blocked-remote" and their like.
+  // State of a circuit for operators, such as "standing-out" or "idle blocked-remote".
   [[nodiscard]] std::string describe(Cic cic) const;
-  // Circuits by what they are in now.
+  // Number of circuits in each state now.
   struct Summary {
     std::uint32_t idle = 0, seized = 0, established = 0, releasing = 0, blocked_local = 0, blocked_remote = 0,
                   lost = 0, suspect = 0, unaudited = 0;
   };
   [[nodiscard]] Summary summary() const;
-  // All that decides what comes next, as bytes: equal bytes, equal behaviour. Times are left out.
+  // All state that determines the behaviour, as bytes: equal bytes, equal behaviour. Times are left out.
   void fingerprint(std::string& out) const;
-  void check() const;  // throws std::logic_error where the books do not add up
+  void check() const;  // throws std::logic_error if an invariant is violated
 
  protected:
-  // The two decisions that all else rests on; a test that breaks one must see the checks find it.
+  // The two decisions on which all else rests. Tests override them to show that the checks find a fault.
   [[nodiscard]] virtual bool wins(Cic cic) const { return controls(cic); }
   [[nodiscard]] virtual bool is_older(std::uint32_t received, std::uint32_t sent) const {
     return received < sent;
@@ -123,22 +126,23 @@
   struct Circuit {
     State state = State::idle;
     bool blocked_local = false;
-    bool block_acknowledged = false;  // the far end has acknowledged it
+    bool block_acknowledged = false;  // the far end has acknowledged blocked_local
     bool blocked_remote = false;
     bool lost = false;
-    bool unaudited = true;       // since the connection came up, or since it was restored
-    std::uint8_t tries = 0;      // of a release or reset
-    std::uint8_t disagreed = 0;  // answers to audits in a row that did, with nothing changed in between
+    bool unaudited = true;        // since the connection came up or the circuit was restored
+    std::uint8_t tries = 0;       // transmissions of the current release
+    std::uint8_t mismatches = 0;  // consecutive audit responses that differed, without a change in between
     std::uint64_t call = 0;
     std::uint32_t sent = 0;
     std::uint32_t received = 0;
-    std::uint32_t seized = 0;    // `sent` at this end's last seizure: an iam that had not heard it collides
-    std::uint64_t far_call = 0;  // what the far end said it holds, when it disagreed
+    std::uint32_t seized =
+        0;  // `sent` at this end's last seizure; an iam sent before it was received collides
+    std::uint64_t far_call = 0;  // call reported by the far end at the last mismatch
   };
   struct Timer {
     Time at{};
     Cic cic = 0;
-    std::uint32_t sent = 0;  // of the circuit when it was set: what changed since makes it void
+    std::uint32_t sent = 0;  // of the circuit when the timer was set; a change since then cancels it
     std::uint32_t epoch = 0;
   };
   static std::uint64_t key(std::uint64_t call, bool outgoing) { return call * 2 + (outgoing ? 1U : 0U); }
@@ -146,57 +150,57 @@
     return s == State::seized_out || s == State::seized_in || s == State::established_out ||
            s == State::established_in;
   }
-  static bool is_out(State s) { return s == State::seized_out || s == State::established_out; }
-  static bool stands(State s) { return s == State::established_out || s == State::established_in; }
+  static bool is_outgoing(State s) { return s == State::seized_out || s == State::established_out; }
+  static bool is_established(State s) { return s == State::established_out || s == State::established_in; }
   // Sends a message on one circuit, with the next sequence number.
   void send_on(Cic cic, Kind kind, std::uint64_t call, int cause, GroupActions& actions);
-  void enter(Cic cic, State state, std::uint64_t call);
+  void set_state(Cic cic, State state, std::uint64_t call);
   [[nodiscard]] bool can_select(Cic cic) const;
-  void reselect(Cic cic);
+  void update_idle_sets(Cic cic);
   [[nodiscard]] std::optional<Cic> select() const;
   void await_completion(Time now, Cic cic);
-  // The call on a circuit is over without the far end's consent being needed.
-  void drop(Cic cic, int cause, bool by_far_end, GroupActions& actions);
+  // Ends the call on a circuit without waiting for the far end.
+  void end_call(Cic cic, int cause, bool by_far_end, GroupActions& actions);
   void begin_release(Time now, Cic cic, int cause, GroupActions& actions);
   void begin_reset(Time now, Cic cic, GroupActions& actions);
   std::uint32_t query(Cic first, std::uint32_t count, GroupActions& actions);
   void step_audit(Time now, GroupActions& actions);
-  void release_lost_call(Time now, Cic cic, GroupActions& actions);
+  void release_for_maintenance(Time now, Cic cic, GroupActions& actions);
   void send_blocking(bool blocked, Cic first, std::uint32_t count, GroupActions& actions);
   void respond(const Message& query, GroupActions& actions) const;
   void compare(Time now, const Message& response, GroupActions& actions);
-  void compare_one(Time now, Cic cic, const CircuitStatus& report);
+  void compare_circuit(Time now, Cic cic, const CircuitStatus& report);
   void mark_agreed(Cic cic);
-  // Frees or resets what disagreed twice with nothing in between, one batch.
+  // Frees or resets one batch of circuits that mismatched twice without a change in between.
   void settle(Time now, GroupActions& actions);
-  bool receive_iam(Time now, const Message& m, bool older, GroupActions& actions);
+  bool receive_iam(Time now, const Message& m, bool outdated, GroupActions& actions);
   void receive_rel(const Message& m, GroupActions& actions);
-  void receive_rsc(const Message& m, bool older, GroupActions& actions);
-  void retry_releases(Time now, GroupActions& actions);
+  void receive_rsc(const Message& m, bool outdated, GroupActions& actions);
+  void retry_due_releases(Time now, GroupActions& actions);
   void confirm_suspects(Time now, GroupActions& actions);
-  void drop_standing(GroupActions& actions);
+  void drop_established_calls(GroupActions& actions);
   void receive_anm(const Message& m, GroupActions& actions);
   bool receive_group(Time now, const Message& m, GroupActions& actions);
 
   const GroupSettings settings_;
   std::vector<Circuit> circuits_;
-  IdleSet idle_;   // selectable circuits: all of them ...
-  IdleSet own_;    // ... those that this end controls ...
-  IdleSet other_;  // ... and those of the other end
+  IdleSet idle_;   // all selectable circuits
+  IdleSet own_;    // selectable circuits that this end controls
+  IdleSet other_;  // selectable circuits that the far end controls
   std::unordered_map<std::uint64_t, Cic> calls_;
-  // Each of these waits alike, so the first is the next.
+  // All timers of a queue have the same duration, so the first one is due next.
   std::deque<Timer> release_retries_;
   std::deque<Timer> confirmations_;
   std::deque<Cic> to_settle_;
-  Time settle_at_ = Time::max();
+  Time settle_due_ = Time::max();
   Time audit_due_ = Time::max();
-  Time silence_at_ = Time::max();
+  Time silence_ends_at_ = Time::max();
   bool up_ = false;
-  std::uint32_t epoch_ = 0;  // connections so far
+  std::uint32_t epoch_ = 0;  // number of connections so far
   std::uint32_t busy_ = 0;   // circuits with a call
-  std::uint32_t tokens_ = 0;
-  Cic audit_next_ = 0;         // where the running audit goes on
-  bool audit_urgent_ = false;  // one range after the other, as after a reconnection
+  std::uint32_t last_token_ = 0;
+  Cic audit_next_ = 0;         // first circuit of the next query
+  bool audit_urgent_ = false;  // query the ranges without pauses, as after a reconnection
   std::uint32_t urgent_token_ = 0;
   Counts counts_;
 };
--- a/src/circuits/group_actions.h
+++ b/src/circuits/group_actions.h
@@ -1,4 +1,4 @@
-// What a trunk group asks of the program that owns its connection.
+// Actions that a trunk group requests from the program that owns its connection.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,27 @@
 struct Send {
   Message message;
 };
-// A call comes in on a circuit: offer it, then answer() or release() it.
+// An incoming call on a circuit: offer it, then answer() or release() it.
 struct Offered {
   std::uint64_t call = 0;
   Cic cic = 0;
 };
-// A call of ours stands.
+// An outgoing call is established.
 struct Answered {
   std::uint64_t call = 0;
 };
-// A call of ours lost a dual seizure: it has not run at the far end, and another may be tried at once.
+// An outgoing call lost a dual seizure. It has never existed at the far end, and may be tried again at once.
 struct SeizureLost {
   std::uint64_t call = 0;
 };
-// A call is over that had been seized, offered or stood.
+// A call that had seized a circuit, been offered or been established has ended.
 struct Ended {
   std::uint64_t call = 0;
   bool outgoing = false;
   bool established = false;
-  int cause = 0;            // Q.850
-  bool by_far_end = false;  // by the far end's release; else by a break, a reset or an audit
+  int cause = 0;  // Q.850
+  bool by_far_end =
+      false;  // by a release of the far end; otherwise by a break, a reset, an audit or maintenance
 };
 using GroupAction = std::variant<Send, Offered, Answered, SeizureLost, Ended>;
 using GroupActions = std::vector<GroupAction>;
@@ -42,7 +43,7 @@
 inline constexpr int kNoCircuit = 34;
 inline constexpr int kTemporaryFailure = 41;
 
-// Why a seizure was not made.
+// Reason for which no circuit was seized.
 enum class Refusal { none, no_circuit, not_connected, call_known };
 
 }  // namespace reeltack::circuits
--- a/src/circuits/group_audit.cpp
+++ b/src/circuits/group_audit.cpp
@@ -1,4 +1,4 @@
-// Audits: both ends compare their views of the circuits and settle what disagrees (Q.764, 2.8.3).
+// Audits: both ends compare their views of the circuits and resolve mismatches (Q.764, 2.8.3).
 #include <algorithm>
 
 #include "circuits/group.h"
@@ -23,9 +23,9 @@
   m.kind = Kind::cqm;
   m.cic = first;
   m.count = count;
-  m.token = ++tokens_;
+  m.token = ++last_token_;
   actions.emplace_back(Send{std::move(m)});
-  return tokens_;
+  return last_token_;
 }
 
 void Group::step_audit(Time now, GroupActions& actions) {
@@ -35,7 +35,7 @@
   audit_next_ += count;
   if (audit_urgent_) urgent_token_ = token;
   if (audit_next_ < settings_.size) {
-    // Spread over the period, or one after the other where it is urgent.
+    // Queries are spread over the period, or follow each other without pauses if the audit is urgent.
     if (!audit_urgent_) audit_due_ = now + settings_.audit_period / static_cast<int>(ranges_of(settings_));
     return;
   }
@@ -53,81 +53,84 @@
   m.statuses.reserve(query.count);
   for (Cic cic = query.cic; cic < query.cic + query.count; ++cic) {
     const Circuit& c = circuits_[cic];
-    CircuitStatus w;
-    w.received = c.received;
-    w.established = stands(c.state);
+    CircuitStatus status;
+    status.received = c.received;
+    status.established = is_established(c.state);
     if (holds_call(c.state)) {
-      w.state = is_out(c.state) ? CircuitStatus::State::out : CircuitStatus::State::in;
-      w.call = c.call;
+      status.state = is_outgoing(c.state) ? CircuitStatus::State::out : CircuitStatus::State::in;
+      status.call = c.call;
     } else if (c.state != State::idle) {
-      w.state = CircuitStatus::State::changing;
+      status.state = CircuitStatus::State::changing;
     }
-    m.statuses.push_back(w);
+    m.statuses.push_back(status);
   }
   actions.emplace_back(Send{std::move(m)});
 }
 
 void Group::compare(Time now, const Message& response, GroupActions& actions) {
-  for (std::uint32_t i = 0; i < response.count; ++i) compare_one(now, response.cic + i, response.statuses[i]);
+  for (std::uint32_t i = 0; i < response.count; ++i)
+    compare_circuit(now, response.cic + i, response.statuses[i]);
   if (audit_urgent_ && response.token == urgent_token_) step_audit(now, actions);
 }
 
 void Group::mark_agreed(Cic cic) {
   Circuit& c = circuits_[cic];
-  c.disagreed = 0;
+  c.mismatches = 0;
   c.unaudited = false;
-  reselect(cic);
+  update_idle_sets(cic);
 }
 
-void Group::compare_one(Time now, Cic cic, const CircuitStatus& report) {
+void Group::compare_circuit(Time now, Cic cic, const CircuitStatus& report) {
   Circuit& c = circuits_[cic];
   using Reported = CircuitStatus::State;
-  // Something of ours had not been heard when this was said: it speaks of a past state. The other way round
-  // nothing can be on its way, since what was sent before it has come before it.
+  // The response was sent before our last message was received, so it describes a past state. In the
+  // other direction nothing can be in flight: whatever the far end sent before this response has
+  // arrived before it.
   if (report.received != c.sent) return;
   if (report.state == Reported::changing || c.state == State::releasing || c.state == State::resetting)
     return;
   if (c.state == State::idle && report.state == Reported::idle) return mark_agreed(cic);
   const bool same = holds_call(c.state) && report.call == c.call &&
-                    report.state == (is_out(c.state) ? Reported::in : Reported::out);
+                    report.state == (is_outgoing(c.state) ? Reported::in : Reported::out);
   if (same) return mark_agreed(cic);
-  if (c.disagreed == 2) return;  // it waits to be settled
-  if (c.disagreed == 1 && c.far_call == report.call) {
-    c.disagreed = 2;
+  if (c.mismatches == 2) return;  // it is already queued for settle()
+  if (c.mismatches == 1 && c.far_call == report.call) {
+    c.mismatches = 2;
     to_settle_.push_back(cic);
-    if (settle_at_ == Time::max()) settle_at_ = now;
+    if (settle_due_ == Time::max()) settle_due_ = now;
     return;
   }
   ++counts_.suspects;
-  c.disagreed = 1;
+  c.mismatches = 1;
   c.far_call = report.call;
-  reselect(cic);
+  update_idle_sets(cic);
   confirmations_.push_back({now + settings_.confirm_after, cic, c.sent, epoch_});
 }
 
-// What disagreed twice with nothing in between: our call is known here alone and over, theirs is reset.
+// Resolves circuits that mismatched twice without a change in between. A call that only this end knows
+// has ended; a call that only the far end knows is reset.
 void Group::settle(Time now, GroupActions& actions) {
-  settle_at_ = Time::max();
+  settle_due_ = Time::max();
   for (std::uint32_t n = 0; n < settings_.settle_batch && !to_settle_.empty();) {
     const Cic cic = to_settle_.front();
     to_settle_.pop_front();
     Circuit& c = circuits_[cic];
-    if (c.disagreed != 2) continue;  // a newer message has come
+    if (c.mismatches != 2) continue;  // a message has changed the circuit since
     ++n;
     const std::uint64_t far_call = c.far_call;
     if (holds_call(c.state)) {
       ++counts_.freed;
       c.unaudited = true;
-      drop(cic, kTemporaryFailure, false, actions);
+      end_call(cic, kTemporaryFailure, false, actions);
     }
-    c.disagreed = 0;
+    c.mismatches = 0;
     if (far_call != 0) {
       begin_reset(now, cic, actions);
     } else {
       query(cic, 1, actions);
     }
   }
-  if (!to_settle_.empty()) settle_at_ = now + settings_.settle_gap;
+  if (!to_settle_.empty()) settle_due_ = now + settings_.settle_gap;
 }
 
 }  // namespace reeltack::circuits
--- a/src/circuits/group_connection.cpp
+++ b/src/circuits/group_connection.cpp
@@ -1,4 +1,4 @@
-// The connection of a trunk group as it comes up and breaks, and the timers.
+// Changes of the connection of a trunk group, and its timers.
 #include <algorithm>
 
 #include "circuits/group.h"
@@ -12,19 +12,19 @@
   release_retries_.clear();
   confirmations_.clear();
   to_settle_.clear();
-  settle_at_ = silence_at_ = Time::max();
+  settle_due_ = silence_ends_at_ = Time::max();
   for (Cic cic = 0; cic < settings_.size; ++cic) {
     Circuit& c = circuits_[cic];
     c.sent = c.received = c.seized = 0;
-    c.disagreed = 0;
+    c.mismatches = 0;
     c.blocked_remote = c.block_acknowledged = false;
     c.unaudited = true;
-    reselect(cic);
+    update_idle_sets(cic);
   }
   for (Cic cic = 0; cic < settings_.size;) {
-    const auto shut = [this](Cic at) { return circuits_[at].blocked_local || circuits_[at].lost; };
+    const auto is_blocked = [this](Cic at) { return circuits_[at].blocked_local || circuits_[at].lost; };
     const Cic begin = cic;
-    while (cic < settings_.size && shut(cic)) ++cic;
+    while (cic < settings_.size && is_blocked(cic)) ++cic;
     send_blocking(true, begin, cic - begin, actions);
     if (cic == begin) ++cic;
   }
@@ -34,35 +34,36 @@
 void Group::disconnected(Time now, GroupActions& actions) {
   if (!up_) return;
   up_ = false;
-  audit_due_ = settle_at_ = Time::max();
+  audit_due_ = settle_due_ = Time::max();
   audit_urgent_ = false;
-  silence_at_ = now + settings_.max_silence;
+  silence_ends_at_ = now + settings_.max_silence;
   for (Cic cic = 0; cic < settings_.size; ++cic) {
     Circuit& c = circuits_[cic];
     c.unaudited = true;
-    c.disagreed = 0;
-    // No connection owns what stands. What had no answer is over at both ends, whatever was on its way.
-    if (stands(c.state)) {
-      reselect(cic);
+    c.mismatches = 0;
+    // An established call does not depend on a connection. An unanswered one ends at both ends, whatever was
+    // in flight.
+    if (is_established(c.state)) {
+      update_idle_sets(cic);
     } else {
-      drop(cic, kTemporaryFailure, false, actions);
+      end_call(cic, kTemporaryFailure, false, actions);
     }
   }
 }
 
 Time Group::next_due() const {
-  Time out = std::min({settle_at_, audit_due_, silence_at_});
+  Time out = std::min({settle_due_, audit_due_, silence_ends_at_});
   if (!release_retries_.empty()) out = std::min(out, release_retries_.front().at);
   if (!confirmations_.empty()) out = std::min(out, confirmations_.front().at);
   return out;
 }
 
-void Group::retry_releases(Time now, GroupActions& actions) {
+void Group::retry_due_releases(Time now, GroupActions& actions) {
   while (!release_retries_.empty() && release_retries_.front().at <= now) {
     const Timer due = release_retries_.front();
     release_retries_.pop_front();
     Circuit& c = circuits_[due.cic];
-    if (!up_ || due.epoch != epoch_ || c.sent != due.sent) continue;  // something was said since
+    if (!up_ || due.epoch != epoch_ || c.sent != due.sent) continue;  // something was sent since
     if (c.state == State::releasing && c.tries < settings_.max_releases) {
       ++c.tries;
       ++counts_.releases_again;
@@ -79,24 +80,24 @@
     const Timer due = confirmations_.front();
     confirmations_.pop_front();
     const Circuit& c = circuits_[due.cic];
-    if (up_ && due.epoch == epoch_ && c.sent == due.sent && c.disagreed == 1) query(due.cic, 1, actions);
+    if (up_ && due.epoch == epoch_ && c.sent == due.sent && c.mismatches == 1) query(due.cic, 1, actions);
   }
 }
 
-void Group::drop_standing(GroupActions& actions) {
+void Group::drop_established_calls(GroupActions& actions) {
   for (Cic cic = 0; cic < settings_.size; ++cic) {
-    if (stands(circuits_[cic].state)) drop(cic, kTemporaryFailure, false, actions);
+    if (is_established(circuits_[cic].state)) end_call(cic, kTemporaryFailure, false, actions);
   }
 }
 
 void Group::fire(Time now, GroupActions& actions) {
-  retry_releases(now, actions);
+  retry_due_releases(now, actions);
   confirm_suspects(now, actions);
-  if (settle_at_ <= now) settle(now, actions);
+  if (settle_due_ <= now) settle(now, actions);
   if (audit_due_ <= now) step_audit(now, actions);
-  if (silence_at_ <= now) {
-    silence_at_ = Time::max();
-    drop_standing(actions);
+  if (silence_ends_at_ <= now) {
+    silence_ends_at_ = Time::max();
+    drop_established_calls(actions);
   }
 }
 
--- a/src/circuits/group_inspection.cpp
+++ b/src/circuits/group_inspection.cpp
@@ -1,4 +1,4 @@
-// What a trunk group holds, for people and tests; changes nothing.
+// State of a trunk group for operators and tests; read-only.
 #include <stdexcept>
 
 #include "circuits/group.h"
@@ -14,7 +14,7 @@
   if (c.blocked_remote) out += " blocked-remote";
   if (c.lost) out += " lost";
   if (c.unaudited) out += " unaudited";
-  if (c.disagreed > 0) out += " suspect";
+  if (c.mismatches > 0) out += " suspect";
   return out;
 }
 
@@ -23,12 +23,12 @@
   for (const Circuit& c : circuits_) {
     out.idle += c.state == State::idle ? 1 : 0;
     out.seized += c.state == State::seized_out || c.state == State::seized_in ? 1 : 0;
-    out.established += stands(c.state) ? 1 : 0;
+    out.established += is_established(c.state) ? 1 : 0;
     out.releasing += c.state == State::releasing || c.state == State::resetting ? 1 : 0;
     out.blocked_local += c.blocked_local ? 1 : 0;
     out.blocked_remote += c.blocked_remote ? 1 : 0;
     out.lost += c.lost ? 1 : 0;
-    out.suspect += c.disagreed > 0 ? 1 : 0;
+    out.suspect += c.mismatches > 0 ? 1 : 0;
     out.unaudited += c.unaudited ? 1 : 0;
   }
   return out;
@@ -46,7 +46,7 @@
     put(static_cast<std::uint64_t>(c.state), 1);
     put(static_cast<std::uint64_t>(c.blocked_local) | static_cast<std::uint64_t>(c.block_acknowledged) << 1U |
             static_cast<std::uint64_t>(c.blocked_remote) << 2U | static_cast<std::uint64_t>(c.lost) << 3U |
-            static_cast<std::uint64_t>(c.unaudited) << 4U | static_cast<std::uint64_t>(c.disagreed) << 5U,
+            static_cast<std::uint64_t>(c.unaudited) << 4U | static_cast<std::uint64_t>(c.mismatches) << 5U,
         1);
     put(c.call, 1);
     put(c.far_call, 1);
@@ -68,22 +68,24 @@
     const Circuit& c = circuits_[cic];
     if (holds_call(c.state)) {
       ++busy;
-      const auto found = calls_.find(key(c.call, is_out(c.state)));
+      const auto found = calls_.find(key(c.call, is_outgoing(c.state)));
       if (found == calls_.end() || found->second != cic)
-        wrong("a busy circuit whose call is not in the table");
+        wrong("the call of a busy circuit is missing from the call table");
     }
-    // Not can_select(): a check that shares the rule with what it checks would not see it broken.
+    // Does not call can_select(): a check that shares the rule with the code it checks would not detect
+    // a fault in it.
     const bool selectable = up_ && c.state == State::idle && !c.blocked_local && !c.blocked_remote &&
-                            !c.lost && !c.unaudited && c.disagreed == 0;
-    if (selectable != idle_.contains(cic)) wrong("the idle set is not what can be selected");
+                            !c.lost && !c.unaudited && c.mismatches == 0;
+    if (selectable != idle_.contains(cic)) wrong("the idle set differs from the selectable circuits");
     if (selectable != (controls(cic) ? own_ : other_).contains(cic))
-      wrong("the halves are not what can be selected");
+      wrong("the sets of own and other circuits differ from the selectable circuits");
     free += selectable ? 1 : 0;
-    if (!up_ && !stands(c.state) && c.state != State::idle)
-      wrong("a call without an answer outlived its connection");
+    if (!up_ && !is_established(c.state) && c.state != State::idle)
+      wrong("an unanswered call outlived its connection");
   }
-  if (busy != busy_ || calls_.size() != busy) wrong("the count of busy circuits is off");
-  if (free != idle_.size() || own_.size() + other_.size() != free) wrong("the count of idle circuits is off");
+  if (busy != busy_ || calls_.size() != busy) wrong("the number of busy circuits is wrong");
+  if (free != idle_.size() || own_.size() + other_.size() != free)
+    wrong("the number of idle circuits is wrong");
 }
 
 }  // namespace reeltack::circuits
--- a/src/circuits/group_maintenance.cpp
+++ b/src/circuits/group_maintenance.cpp
@@ -1,14 +1,15 @@
-// Blocking of circuits (Q.764, 2.8.2), and circuits that are lost and come back.
+// Blocking of circuits (Q.764, 2.8.2), and circuits that are lost and restored.
 #include <algorithm>
 
 #include "circuits/group.h"
 
 namespace reeltack::circuits {
 
-// The call on a circuit ends by this end's maintenance.
-void Group::release_lost_call(Time now, Cic cic, GroupActions& actions) {
+// Ends the call on a circuit because of maintenance at this end.
+void Group::release_for_maintenance(Time now, Cic cic, GroupActions& actions) {
   const Circuit& c = circuits_[cic];
-  actions.emplace_back(Ended{c.call, is_out(c.state), stands(c.state), kTemporaryFailure, false});
+  actions.emplace_back(
+      Ended{c.call, is_outgoing(c.state), is_established(c.state), kTemporaryFailure, false});
   begin_release(now, cic, kTemporaryFailure, actions);
 }
 
@@ -24,8 +25,8 @@
 void Group::block(Time now, Cic first, std::uint32_t count, bool at_once, GroupActions& actions) {
   for (Cic cic = first; cic < first + count && cic < settings_.size; ++cic) {
     circuits_[cic].blocked_local = true;
-    reselect(cic);
-    if (at_once && holds_call(circuits_[cic].state)) release_lost_call(now, cic, actions);
+    update_idle_sets(cic);
+    if (at_once && holds_call(circuits_[cic].state)) release_for_maintenance(now, cic, actions);
   }
   send_blocking(true, first, std::min(count, settings_.size - first), actions);
 }
@@ -34,7 +35,7 @@
   count = std::min(count, settings_.size - first);
   for (Cic cic = first; cic < first + count; ++cic) {
     circuits_[cic].blocked_local = circuits_[cic].block_acknowledged = false;
-    reselect(cic);
+    update_idle_sets(cic);
   }
   // Lost circuits stay blocked for the far end.
   for (Cic cic = first; cic < first + count;) {
@@ -54,8 +55,8 @@
   for (Cic cic = first; cic < first + count; ++cic) {
     Circuit& c = circuits_[cic];
     c.lost = true;
-    reselect(cic);
-    if (holds_call(c.state)) release_lost_call(now, cic, actions);
+    update_idle_sets(cic);
+    if (holds_call(c.state)) release_for_maintenance(now, cic, actions);
   }
 }
 
@@ -64,8 +65,8 @@
   for (Cic cic = first; cic < first + count; ++cic) {
     Circuit& c = circuits_[cic];
     c.lost = false;
-    c.unaudited = true;  // not before both ends agree that it is idle
-    reselect(cic);
+    c.unaudited = true;  // not selectable before both ends agree that it is idle
+    update_idle_sets(cic);
     if (!c.blocked_local) {
       c.block_acknowledged = false;
       send_blocking(false, cic, 1, actions);
--- a/src/circuits/group_settings.cpp
+++ b/src/circuits/group_settings.cpp
@@ -1,11 +1,11 @@
-// The bound on how long a stuck circuit stays so.
+// Limit on how long a circuit stays stuck.
 #include "circuits/group_settings.h"
 
 namespace reeltack::circuits {
 
 Duration max_settle_time(const GroupSettings& s) {
-  // It is asked about within a period, once more after the confirmation, and waits for its turn to be
-  // settled.
+  // A circuit is queried within one audit period and again after the confirmation delay, and then waits
+  // for the batch in which it is resolved.
   const std::uint32_t batches = (s.size + s.settle_batch - 1) / s.settle_batch;
   return s.audit_period + s.confirm_after + s.settle_gap * batches;
 }
--- a/src/circuits/idle_set.cpp
+++ b/src/circuits/idle_set.cpp
@@ -1,3 +1,4 @@
+// Hierarchical bitmap and linked list of the idle circuits.
 #include "circuits/idle_set.h"
 
 #include <bit>
--- a/src/circuits/idle_set.h
+++ b/src/circuits/idle_set.h
@@ -1,11 +1,9 @@
-// Which circuits may be selected, in an order that costs the same at any size of the group.
+// Set of selectable circuits with selection orders whose cost hardly depends on the size of the group.
 //
-// Owns: the set and the order of hunting.
-// Must never: allocate after its construction, or walk over circuits.
-//
-// Orders: from the low end, from the high end (a tree of 64-bit words: as many steps as levels, three at
-// 10,000 circuits), longest idle first, or last released first (a list through the circuits). Threads: one at
-// a time.
+// Orders: from the low end or from the high end (a tree of 64-bit words with one step per level: three
+// levels for 10,000 circuits), longest idle first, or last released first (a doubly linked list through
+// the circuits). Does not allocate after construction and never iterates over circuits. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +17,7 @@
 class IdleSet {
  public:
   explicit IdleSet(std::uint32_t size);
-  void insert(Cic cic);  // the last released; no effect if it is in already
+  void insert(Cic cic);  // becomes the last released; no effect if already contained
   void erase(Cic cic);
   [[nodiscard]] bool contains(Cic cic) const { return (levels_[0][cic >> 6U] >> (cic & 63U) & 1U) != 0; }
   [[nodiscard]] std::uint32_t size() const { return count_; }
@@ -30,8 +28,8 @@
 
  private:
   static constexpr std::uint32_t kNone = 0xffffffffU;
-  std::vector<std::vector<std::uint64_t>> levels_;  // a bit of a level tells that a word below is not empty
-  std::vector<std::uint32_t> older_;                // lists through the circuits
+  std::vector<std::vector<std::uint64_t>> levels_;  // a bit is set if the word below it is not zero
+  std::vector<std::uint32_t> older_;                // neighbours in the list, by circuit
   std::vector<std::uint32_t> newer_;
   std::uint32_t oldest_ = kNone;
   std::uint32_t newest_ = kNone;
--- a/src/circuits/message.cpp
+++ b/src/circuits/message.cpp
@@ -1,4 +1,4 @@
-// The names of message kinds.
+// Names of message kinds.
 #include "circuits/message.h"
 
 #include <cstddef>
--- a/src/store/call_watch.h
+++ b/src/store/call_watch.h
@@ -1,7 +1,5 @@
-// How long the call to the disk that is under way has lasted, and whether that is to be reported.
-//
-// Owns: the call's beginning, and whether it has been reported. Must never: read a clock (times are passed
-//   in). Threads: one at a time.
+// Measures the duration of the disk call in progress and decides whether to report it as hanging. Reads
+// no clock: times are passed in. Not thread-safe; the caller synchronizes.
 #pragma once
 
 #include <chrono>
@@ -19,12 +17,12 @@
     since_ = now;
     reported_ = false;
   }
-  // True once a call, when it has lasted longer than allowed.
+  // True once per call, when it has taken at least `hang_threshold`.
   bool hangs(Time now) {
     if (!since_ || reported_ || now - *since_ < hanging_after_) return false;
     return reported_ = true;
   }
-  // The call has returned: its duration where it had been reported.
+  // Ends the call. Returns its duration if it had been reported as hanging.
   std::optional<Span> end(Time now) {
     const Span span = lasted(now);
     since_.reset();
@@ -38,7 +36,7 @@
 
  private:
   const Span hanging_after_;
-  std::optional<Time> since_;  // none while no call is under way
+  std::optional<Time> since_;  // empty while no call is in progress
   bool reported_ = false;
 };
 
--- a/src/store/change_queue.cpp
+++ b/src/store/change_queue.cpp
@@ -1,4 +1,4 @@
-// The queue of changes: see the header.
+// Queue of pending changes.
 #include "store/change_queue.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     ++counts_.refused;
     return 0;
   }
-  hold(key, value);
+  retain_latest(key, value);
   ++counts_.taken;
   ++number_;
   has_new_ = true;
@@ -38,89 +38,90 @@
 }
 
 void ChangeQueue::remember(const std::string& key, std::string value) {
-  if (!held_.contains(key)) hold(key, std::move(value));
+  if (!latest_values_.contains(key)) retain_latest(key, std::move(value));
 }
 
-// Beyond the bounds a value is not held, and the owner's next put has to do.
-void ChangeQueue::hold(const std::string& key, const std::optional<std::string>& value) {
-  if (const auto old = held_.find(key); old != held_.end()) {
-    held_bytes_ -= size(old->first, old->second);
-    held_.erase(old);
+// Over the limits the value is not retained; if the store is lost, the key is written again only when
+// its owner puts it.
+void ChangeQueue::retain_latest(const std::string& key, const std::optional<std::string>& value) {
+  if (const auto old = latest_values_.find(key); old != latest_values_.end()) {
+    latest_bytes_ -= size(old->first, old->second);
+    latest_values_.erase(old);
   }
   const std::size_t more = size(key, value);
-  if (held_.size() >= most_keys_ || held_bytes_ + more > most_bytes_) return;
-  held_bytes_ += more;
-  held_.emplace(key, value);
+  if (latest_values_.size() >= most_keys_ || latest_bytes_ + more > most_bytes_) return;
+  latest_bytes_ += more;
+  latest_values_.emplace(key, value);
 }
 
-std::vector<Change> ChangeQueue::take_batch() {
+std::vector<Change> ChangeQueue::take_pending() {
   std::vector<Change> batch;
   batch.reserve(waiting_.size());
   for (auto& [key, waiting] : waiting_) {
-    in_hand_.emplace(key, InHand{size(key, waiting.value), waiting.first, waiting.last});
+    in_flight_.emplace(key, InFlight{size(key, waiting.value), waiting.first, waiting.last});
     batch.push_back({key, std::move(waiting.value)});
   }
   waiting_.clear();
   has_new_ = false;
   std::sort(batch.begin(), batch.end(), [this](const Change& a, const Change& b) {
-    return in_hand_.at(a.key).last < in_hand_.at(b.key).last;
+    return in_flight_.at(a.key).last < in_flight_.at(b.key).last;
   });
   return batch;
 }
 
-void ChangeQueue::settle(std::vector<Change>&& left) {
-  if (left.size() < in_hand_.size()) lost_ = false;
-  for (Change& change : left) {
-    const auto was = in_hand_.find(change.key);
-    wait_again(std::move(change), was->second);
-    in_hand_.erase(was);
+void ChangeQueue::finish_batch(std::vector<Change>&& deferred) {
+  if (deferred.size() < in_flight_.size()) lost_ = false;
+  for (Change& change : deferred) {
+    const auto previous = in_flight_.find(change.key);
+    requeue(std::move(change), previous->second);
+    in_flight_.erase(previous);
   }
-  for (const auto& [key, written] : in_hand_) bytes_ -= written.bytes;
-  in_hand_.clear();
+  for (const auto& [key, written] : in_flight_) bytes_ -= written.bytes;
+  in_flight_.clear();
   if (lost_) return;
   durable_up_to_ = number_;
   for (const auto& [key, waiting] : waiting_) durable_up_to_ = std::min(durable_up_to_, waiting.first - 1);
 }
 
-// What came meanwhile is newer than what was in hand.
-void ChangeQueue::wait_again(Change&& change, const InHand& was) {
+// A change of the same key that arrived meanwhile is newer than the one that was in flight.
+void ChangeQueue::requeue(Change&& change, const InFlight& previous) {
   const auto [at, is_latest] =
-      waiting_.try_emplace(change.key, Waiting{std::move(change.value), was.first, was.last});
+      waiting_.try_emplace(change.key, Waiting{std::move(change.value), previous.first, previous.last});
   if (is_latest) return;
-  at->second.first = was.first;
-  bytes_ -= was.bytes;
+  at->second.first = previous.first;
+  bytes_ -= previous.bytes;
 }
 
-void ChangeQueue::lose() {
+void ChangeQueue::mark_lost() {
   lost_ = true;
   durable_up_to_ = 0;
 }
 
-// What waits is newer. An opening may find less than was confirmed: damage in the last batches reads as the
-// batch before them.
+// Pending values are newer and stay. A reopened store may hold less than was confirmed: damage in the
+// last batches of the log reads as the state before them.
 void ChangeQueue::restore(const std::vector<StoredRecord>& found, const std::string& fleet,
                           const std::string& owner) {
-  std::map<std::string_view, const StoredRecord*> there;
-  for (const StoredRecord& record : found) there.emplace(record.key, &record);
-  const auto is_there = [&](const Values::value_type& held) {
-    const auto at = there.find(held.first);
-    if (!held.second || at == there.end()) return !held.second && at == there.end();
+  std::map<std::string_view, const StoredRecord*> found_by_key;
+  for (const StoredRecord& record : found) found_by_key.emplace(record.key, &record);
+  const auto is_current = [&](const Values::value_type& retained) {
+    const auto at = found_by_key.find(retained.first);
+    if (!retained.second || at == found_by_key.end()) return !retained.second && at == found_by_key.end();
     const StoredRecord& record = *at->second;
-    return record.value == *held.second && record.fleet == fleet && record.owner == owner;
+    return record.value == *retained.second && record.fleet == fleet && record.owner == owner;
   };
-  for (const auto& held : held_) {
-    if (is_there(held)) continue;
-    // Older than all that was put since the store was lost, and no number of its own.
-    const bool waits = !waiting_.try_emplace(held.first, Waiting{held.second, 1, 0}).second;
-    if (!waits) bytes_ += size(held.first, held.second);
+  for (const auto& retained : latest_values_) {
+    if (is_current(retained)) continue;
+    // Number 0: the value is older than everything that was put since the store was lost.
+    const bool waits = !waiting_.try_emplace(retained.first, Waiting{retained.second, 1, 0}).second;
+    if (!waits) bytes_ += size(retained.first, retained.second);
   }
 }
 
 bool ChangeQueue::is_durable(const std::string& key, std::uint64_t number) const {
   if (number == 0 || number > number_ || lost_) return false;
   if (const auto at = waiting_.find(key); at != waiting_.end() && at->second.first <= number) return false;
-  const auto at = in_hand_.find(key);
-  return at == in_hand_.end() || at->second.first > number;
+  const auto at = in_flight_.find(key);
+  return at == in_flight_.end() || at->second.first > number;
 }
 
 }  // namespace reeltack::store
--- a/src/store/contents.h
+++ b/src/store/contents.h
@@ -1,7 +1,8 @@
-// What is in the file: its connection, its statements, each record's checksum and the seal over them.
+// The open database file: its connection, prepared statements, the checksum of each record and the seal
+// over all of them.
 //
-// Owns: the table's form and the proof of it. Must never: rename or delete a file, or take what is not
-// proven.
+// Defines the table layout and verifies it. Never renames or deletes a file, and accepts no content
+// that it cannot verify. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -14,19 +15,19 @@
 namespace reeltack::store {
 
 inline constexpr std::string_view kSealKey;
-inline constexpr std::uint64_t kPage = 4096;  // bytes; the engine's own default, told to it all the same
+inline constexpr std::uint64_t kPageBytes = 4096;  // SQLite's default, set explicitly all the same
 
 struct Contents {
   explicit Contents(const StoreSettings& s) : settings(s), file(s.dir + "/store.db") {}
 
   const StoreSettings settings;
   const std::string file;
-  Lock lock;  // the last to go
+  Lock lock;  // declared first so that it is released last
   Database database;
-  Statement begin, commit, rollback, put, take;
-  std::map<std::string, std::uint64_t> sums;  // each record's checksum
+  Statement begin, commit, rollback, put, erase;
+  std::map<std::string, std::uint64_t> checksums;  // of each record, by key
   Seal seal;
-  std::optional<FileId> database_id, log_id;  // of the files that are open
+  std::optional<FileId> database_id, log_id;  // of the open files
   bool damaged = false;
 
   [[nodiscard]] WriteResult fail(ErrorCode code, const std::string& text) const {
@@ -34,32 +35,32 @@
   }
   [[nodiscard]] WriteResult fail(int result) const { return fail(error_code_of(result), database.error()); }
 
-  // Opens the file and proves all that is in it; `made`: it was empty and is a store now.
-  WriteResult load(std::vector<StoredRecord>& records, bool& made);
-  WriteResult set_up();
-  WriteResult make();
-  WriteResult prove(std::vector<StoredRecord>& records);
-  // A log that cannot be carried over (its disk writes, the file's does not) must not grow for ever.
-  WriteResult bound_log();
-  // Whether what was written is where the next opening will look for it.
+  // Opens the file and verifies all of it. `created` is set if it was empty and has been initialized.
+  WriteResult load(std::vector<StoredRecord>& records, bool& created);
+  WriteResult configure_connection();
+  WriteResult create_schema();
+  WriteResult verify(std::vector<StoredRecord>& records);
+  // Limits the write-ahead log when checkpoints fail (the log can be written but the database file cannot).
+  WriteResult limit_log_size();
+  // Checks that the open files are still the ones that the next open() will find in the folder.
   WriteResult verify_files();
-  // One transaction, durable where ok(); keys and sizes are checked before.
-  struct Moment {
+  // Writes one transaction, durable if ok(). The caller has checked keys and sizes.
+  struct Timestamps {
     clocks::WallTime wall{};
     clocks::BootTime since_boot{};
   };
-  WriteResult apply(const std::map<std::string_view, const Change*>& last, const Moment& at);
-  std::string record(const std::string& key, const std::string& value, const Moment& at) const {
+  WriteResult apply(const std::map<std::string_view, const Change*>& last, const Timestamps& at);
+  std::string record(const std::string& key, const std::string& value, const Timestamps& at) const {
     return encode(
         StoredRecord{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
   }
-  std::string sealed(const Seal& value, const Moment& at) const {
+  std::string seal_record(const Seal& value, const Timestamps& at) const {
     return record(std::string(kSealKey), encode(value), at);
   }
   void unload() {
-    for (Statement* s : {&begin, &commit, &rollback, &put, &take}) s->drop();
+    for (Statement* s : {&begin, &commit, &rollback, &put, &erase}) s->finalize();
     database.close();
-    sums.clear();
+    checksums.clear();
     seal = {};
   }
 };
--- a/src/store/disk_calls.cpp
+++ b/src/store/disk_calls.cpp
@@ -1,20 +1,20 @@
-// The calls to the disk: see the header.
+// Disk calls and their supervision.
 #include "store/disk_calls.h"
 
 namespace reeltack::store {
 
 using std::chrono::milliseconds;
 
-bool DiskCallMonitor::make(const std::function<void()>& call) {
+bool DiskCallMonitor::run_call(const std::function<void()>& call) {
   {
     const std::lock_guard lock(mutex_);
     call_.begin(settings_.clock());
   }
   call_began_.notify_all();
   call();
-  const std::lock_guard telling(telling_);
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
-  if (given_up_) return false;
+  if (abandoned_) return false;
   const auto reported = call_.end(settings_.clock());
   lock.unlock();
   if (reported) report(AsyncStoreEvent::Kind::returned, *reported);
@@ -26,15 +26,15 @@
   while (!stopping_) {
     call_began_.wait(lock, [this] { return stopping_ || call_.under_way(); });
     lock.unlock();
-    look();
+    check_duration();
     lock.lock();
     watch_ends_.wait_for(lock, settings_.watch_interval, [this] { return stopping_; });
   }
 }
 
-// With `telling_` held throughout, the beginning is told before the end.
-void DiskCallMonitor::look() {
-  const std::lock_guard telling(telling_);
+// Holding `reporting_` throughout ensures that the hang is reported before its end.
+void DiskCallMonitor::check_duration() {
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
   const auto now = settings_.clock();
   if (!call_.hangs(now)) return;
@@ -50,23 +50,23 @@
   watch_ends_.notify_all();
 }
 
-bool DiskCallMonitor::give_up() {
-  const std::lock_guard telling(telling_);
+bool DiskCallMonitor::abandon() {
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
   if (!call_.under_way()) return false;
-  given_up_ = true;
+  abandoned_ = true;
   const DiskCallTimer::Span lasted = call_.lasted(settings_.clock());
   lock.unlock();
   report(AsyncStoreEvent::Kind::abandoned, lasted);
   return true;
 }
 
-void DiskCallMonitor::tell(const AsyncStoreEvent& event) {
-  const std::lock_guard telling(telling_);
+void DiskCallMonitor::report_event(const AsyncStoreEvent& event) {
+  const std::lock_guard reporting(reporting_);
   if (settings_.on_event) settings_.on_event(event);
 }
 
-// Called with `telling_` held.
+// Called with `reporting_` held.
 void DiskCallMonitor::report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted) {
   AsyncStoreEvent event = make_event_(kind);
   event.lasted = std::chrono::duration_cast<milliseconds>(lasted);
--- a/src/store/disk_calls.h
+++ b/src/store/disk_calls.h
@@ -1,11 +1,12 @@
-// The calls that a keeper's writing thread makes to the disk, and the look at them from another thread.
+// Runs the calls that the writing thread makes to the disk, and monitors their duration from another
+// thread.
 //
-// Owns: the time of the call that is under way, the thread's being given up, and the order of the reports.
-// Must never: wait for a call but on the thread that makes it, or use the owner's functions after that thread
-//   has been given up.
+// Waits for a call only on the thread that makes it. After abandon() has given up the writing thread,
+// no callback is used on its behalf.
 //
-// Threads: make() on the writing one, watch() on the watching one, the rest from any. `told` is called by one
-// thread at a time, with no lock held that any other function here but tell() takes.
+// Thread safety: run_call() runs on the writing thread, watch() on the watching one, all others on any.
+// `on_event` is called by one thread at a time, and without any lock that a function other than
+// report_event() takes.
 #pragma once
 
 #include <condition_variable>
@@ -20,34 +21,34 @@
 
 class DiskCallMonitor {
  public:
-  // An event of that kind as things are now, but for the call's duration.
+  // Creates an event of that kind from the current state, without the duration of the call.
   using MakeEvent = std::function<AsyncStoreEvent(AsyncStoreEvent::Kind)>;
   // `settings` must outlive this.
   DiskCallMonitor(const AsyncStoreSettings& settings, MakeEvent make_event)
       : settings_(settings), make_event_(std::move(make_event)), call_(settings.hang_threshold) {}
 
-  // Makes the call. False where this thread was given up meanwhile: it must end, and use nothing of the
-  // owner's.
-  [[nodiscard]] bool make(const std::function<void()>& call);
+  // Runs the call. False if this thread was abandoned meanwhile: it must then end without using
+  // anything of the owner.
+  [[nodiscard]] bool run_call(const std::function<void()>& call);
   void watch();  // until stop_watching()
   void stop_watching();
-  // Gives the writing thread up, which is reported; false while it is in no call.
-  [[nodiscard]] bool give_up();
-  void tell(const AsyncStoreEvent& event);
+  // Abandons the writing thread and reports that; false if it is not in a call.
+  [[nodiscard]] bool abandon();
+  void report_event(const AsyncStoreEvent& event);
   [[nodiscard]] bool hanging() const;
 
  private:
-  void look();
+  void check_duration();
   void report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted);
 
   const AsyncStoreSettings& settings_;
   const MakeEvent make_event_;
-  std::mutex telling_;  // taken before mutex_, and held while `told` runs
+  std::mutex reporting_;  // acquired before mutex_ and held while `on_event` runs
   mutable std::mutex mutex_;
   std::condition_variable call_began_, watch_ends_;
   DiskCallTimer call_;
   bool stopping_ = false;
-  bool given_up_ = false;
+  bool abandoned_ = false;
 };
 
 }  // namespace reeltack::store
--- a/src/store/failure_report.h
+++ b/src/store/failure_report.h
@@ -1,7 +1,5 @@
-// Which failures of a keeper's disk are reported, and as what.
-//
-// Owns: the outage that is on, and its last reason. Must never: read a clock (times are passed in).
-// Threads: one at a time; the keeper's lock sees to it.
+// Decides which disk failures are reported, and as which kind of event. Reads no clock: times are
+// passed in. Not thread-safe; the Writer's lock protects it.
 #pragma once
 
 #include <chrono>
@@ -18,7 +16,8 @@
   FailureReporter(std::chrono::milliseconds first_reminder, std::chrono::milliseconds last_reminder)
       : outage_(first_reminder, last_reminder) {}
 
-  // As what this failure is reported: the first, a reminder, or damage that was not known of; or not at all.
+  // The kind of event that reports this failure: the first of an outage, a reminder, or damage that was
+  // not known before. Empty if it is not to be reported.
   std::optional<AsyncStoreEvent::Kind> failed(ErrorCode code, Time now) {
     const base::Outage::Report report = outage_.failed(now);
     const bool found_damaged = code == ErrorCode::damaged && last_code_ != ErrorCode::damaged;
@@ -32,7 +31,7 @@
     outage_.ended();
   }
   [[nodiscard]] bool on() const { return outage_.on(); }
-  // The event with the outage's duration and failures.
+  // An event with the duration and the number of failures of the current outage.
   [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind, Time now) const {
     AsyncStoreEvent out;
     out.kind = kind;
--- a/src/store/faults.h
+++ b/src/store/faults.h
@@ -1,7 +1,5 @@
-// Where a test may make the store fail or die: its own steps on files, each told before and after.
-//
-// Owns: the interface. What SQLite does to its files is reached by StoreSettings::vfs.
-// Must never: be given in service.
+// Test hook that can make the store's own steps on files fail, or end the process at them. SQLite's
+// file operations are intercepted through StoreSettings::vfs instead. Never set in production.
 #pragma once
 
 #include <string_view>
@@ -11,8 +9,9 @@
 class FaultInjector {
  public:
   virtual ~FaultInjector() = default;
-  // Called before and after each step ("make folder", "lock", "sync folder", "set aside"). A number other
-  // than 0 before a step is the errno that it fails with, without being tried; after it, it is ignored.
+  // Called before and after each step ("make folder", "lock", "sync folder", "set aside"). A non-zero
+  // result before a step is the errno that it fails with, without being attempted. The result after a
+  // step is ignored.
   virtual int at(std::string_view step, bool before) = 0;
 };
 
--- a/src/store/folder.cpp
+++ b/src/store/folder.cpp
@@ -1,4 +1,4 @@
-// The store's folder: see the header.
+// Operations on the store's folder.
 #include "store/folder.h"
 
 #include <fcntl.h>
@@ -12,11 +12,11 @@
 namespace reeltack::store {
 namespace {
 
-std::string said(const char* what, const std::string& of, int error) {
+std::string describe_error(const char* what, const std::string& of, int error) {
   return std::string(what) + " " + of + ": " + std::generic_category().message(error);
 }
 
-bool there(const std::string& path) {
+bool exists(const std::string& path) {
   struct stat s {};
   return ::lstat(path.c_str(), &s) == 0;
 }
@@ -27,21 +27,21 @@
   int error = before("make folder");
   if (error == 0 && ::mkdir(dir_.c_str(), 0750) != 0 && errno != EEXIST) error = errno;
   if (error != 0) {
-    reason = said("cannot make folder", dir_, error);
+    reason = describe_error("cannot make folder", dir_, error);
     return false;
   }
   after("make folder");
   return true;
 }
 
-Lock::Got Folder::lock(Lock& lock, std::string& reason) const {
+Lock::Result Folder::lock(Lock& lock, std::string& reason) const {
   if (const int error = before("lock"); error != 0) {
-    reason = said("cannot lock", dir_, error);
-    return Lock::Got::failed;
+    reason = describe_error("cannot lock", dir_, error);
+    return Lock::Result::failed;
   }
-  const Lock::Got got = lock.take(dir_ + "/store.lock", reason);
+  const Lock::Result result = lock.take(dir_ + "/store.lock", reason);
   after("lock");
-  return got;
+  return result;
 }
 
 bool Folder::sync(std::string& reason) const {
@@ -51,7 +51,7 @@
     if (error == 0 && (fd < 0 || ::fsync(fd) != 0)) error = errno;
     if (fd >= 0) ::close(fd);
     if (error != 0) {
-      reason = said("cannot sync folder", folder, error);
+      reason = describe_error("cannot sync folder", folder, error);
       return false;
     }
     after("sync folder");
@@ -71,25 +71,25 @@
   return FileId{s.st_dev, s.st_ino};
 }
 
-bool Folder::set_aside(std::string& where, std::string& reason) const {
+bool Folder::set_aside(std::string& aside_path, std::string& reason) const {
   const std::string file = dir_ + "/store.db";
   int number = 1;
-  const auto aside = [&](std::string_view end) {
-    return file + ".aside-" + std::to_string(number) + std::string(end);
+  const auto aside = [&](std::string_view suffix) {
+    return file + ".aside-" + std::to_string(number) + std::string(suffix);
   };
-  while (there(aside("")) || there(aside("-wal")) || there(aside("-journal"))) ++number;
-  for (const std::string_view end : {"-journal", "", "-wal"}) {
-    const std::string from = file + std::string(end);
-    if (!there(from)) continue;
+  while (exists(aside("")) || exists(aside("-wal")) || exists(aside("-journal"))) ++number;
+  for (const std::string_view suffix : {"-journal", "", "-wal"}) {
+    const std::string from = file + std::string(suffix);
+    if (!exists(from)) continue;
     int error = before("set aside");
-    if (error == 0 && ::rename(from.c_str(), aside(end).c_str()) != 0) error = errno;
+    if (error == 0 && ::rename(from.c_str(), aside(suffix).c_str()) != 0) error = errno;
     if (error != 0) {
-      reason = said("cannot set aside", from, error);
+      reason = describe_error("cannot set aside", from, error);
       return false;
     }
     after("set aside");
   }
-  where = aside("");
+  aside_path = aside("");
   return sync(reason);
 }
 
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -1,4 +1,4 @@
-// The keeper: see the header.
+// Starts and ends the threads of the asynchronous store.
 #include "store/keeper.h"
 
 #include <optional>
--- a/src/store/keeper.h
+++ b/src/store/keeper.h
@@ -1,21 +1,25 @@
-// The keeper: takes what is to last from the one who decides, and has one thread write it.
+// Asynchronous front of the store: takes changes from any thread and writes them on a thread of its
+// own.
 //
-// Owns: the threads: one writes (store/writer.h), one watches that the calls to the disk return.
-// Must never: have a caller wait for the disk (put and erase hold a lock for memory work only), end the
-//   program over a disk, keep its end waiting for one without bound, report a change as kept that the disk
-//   has not confirmed, or lose a change that it took, but for the last ones of an end on a disk that refuses
-//   or does not answer.
+// Writing (store/writer.h) and the supervision of calls to the disk that do not return run on two
+// separate threads. put() and erase() hold a lock for work in memory only and never wait for the disk.
+// A disk failure never ends the program, and destruction waits for a bounded time. A change is reported
+// as durable only after the disk has confirmed it. An accepted change can be lost only at shutdown, if
+// the disk refuses it or does not answer.
 //
-// Threads: put, erase, remember, kept, is_durable, counts from any; `told` and `found` are called on the
-// keeper's own, one at a time and without its lock held, and must not block for long nor destroy the keeper.
-// Waiting changes go out together as one batch: a group commit. What of a batch is beyond the store's bound
-// on records is left over, and the rest of it is written: see docs/design/disks.md. After a failure,
-// whatever it was, it tries again after `first_retry`, then twice as long each time up to `last_retry`; a
-// put does not shorten that. Where there is no store (refused, failed, or found damaged while it ran) trying
-// again means opening it; so it does after kReopenAfter failures of input or output in a row, for a file of a
-// folder that was mounted anew is not the one that is open. What has been put since is written over what is
-// found then; every value that was put or remembered in this life and is not found as it was is written
-// again, in one batch with what waits.
+// Thread safety: put, erase, remember, durable_up_to, is_durable, flush and counts may be called from
+// any thread. `on_event` and `on_records_found` are called on the threads of the AsyncStore, one call
+// at a time and without its lock held. They must not block for long and must not destroy the
+// AsyncStore.
+//
+// Pending changes are written as one batch (group commit). Changes of a batch that would exceed the
+// store's limit on records are deferred and the others are written; see docs/design/disks.md. After any
+// failure the next attempt follows after `first_retry`, then after twice the previous delay up to
+// `last_retry`; a put does not shorten the delay. If there is no store (it was locked, could not be
+// opened, or was found damaged while open), an attempt opens it. The store is also reopened after
+// kReopenAfter consecutive I/O failures, because after a remount the open file is no longer the file in
+// the folder. After reopening, every value that was put or remembered in this process and is not found
+// unchanged is written again, in one batch with the pending changes.
 #pragma once
 
 #include <chrono>
@@ -33,34 +37,36 @@
 
 class AsyncStore {
  public:
-  // Takes the store that open() gave, or none: then it opens one itself, the first time after `first_retry`.
-  // Throws std::runtime_error where no thread can be had.
+  // Takes over the store in `opened`. Without one it opens the store itself, the first time after
+  // `first_retry`. Throws std::runtime_error if a thread cannot be started.
   AsyncStore(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings);
-  // Writes what waits, once, and closes the store. Where a call to the disk has not returned by
-  // `shutdown_timeout` it is left to itself: its thread goes on alone, calls nobody, and ends with the call
-  // or the process.
+  // Writes the pending changes once and closes the store. If a call to the disk has not returned after
+  // `shutdown_timeout`, its thread is detached: it invokes no callback any more and ends with the call
+  // or with the process.
   ~AsyncStore();
   AsyncStore(const AsyncStore&) = delete;
   AsyncStore& operator=(const AsyncStore&) = delete;
 
-  // The number of the change, or 0 where it was refused (and the former value stays). Numbers rise; each
-  // change up to kept() is durable, itself or by a newer one of its key. kept() falls where the store is
-  // found damaged, until all is written again.
+  // Returns the number of the change, or 0 if it was rejected (the previous value remains). Numbers
+  // increase. Every change up to durable_up_to() is durable, itself or through a newer change of the
+  // same key. durable_up_to() falls to 0 when the store is found damaged, until everything has been
+  // written again.
   std::uint64_t put(const std::string& key, std::string value);
   std::uint64_t erase(const std::string& key);
-  // A value that the store holds since an earlier life, to be written again where it is lost in this one.
+  // Registers a value that the store holds from an earlier run of the process, so that it is written
+  // again if the store is lost during this one.
   void remember(const std::string& key, std::string value);
   [[nodiscard]] std::uint64_t durable_up_to() const;
-  // Whether one change is durable, also where an earlier one of another key is not.
+  // Whether this change is durable, even if an earlier change of another key is not.
   [[nodiscard]] bool is_durable(const std::string& key, std::uint64_t number) const;
-  // Waits until all that was taken before is durable; false where it is not by then. For the start and the
-  // end of the program, never for the core.
+  // Waits until all changes accepted so far are durable; false on timeout. Meant for the start and the
+  // end of the program, never for the core, because it waits for the disk.
   bool flush(std::chrono::milliseconds within);
   [[nodiscard]] AsyncStoreCounts counts() const;
 
  private:
   void end();
-  const std::shared_ptr<Writer> writer_;  // shared with the threads: one of them may outlive this
+  const std::shared_ptr<Writer> writer_;  // shared with the threads, one of which may outlive this object
   base::Thread writing_, watching_;
 };
 
--- a/src/store/keeper_types.cpp
+++ b/src/store/keeper_types.cpp
@@ -1,4 +1,4 @@
-// The keeper's events as text: see the header.
+// Text form of the events of the asynchronous store.
 #include "store/keeper_types.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
   return "opened";
 }
 
-// A text of the engine may hold a quote; a line of the log must not end there.
+// SQLite error texts may contain a double quote, which would end the quoted value in the log line.
 std::string quoted(std::string text) {
   std::replace(text.begin(), text.end(), '"', '\'');
   return "\"" + text + "\"";
--- a/src/store/lock.h
+++ b/src/store/lock.h
@@ -1,8 +1,8 @@
-// The lock of a store's folder: one process at a time, by a file that holds its pid.
+// Lock of the store's folder: a file that holds the pid of the one process that uses the store.
 //
-// Owns: the lock file's descriptor and flock(2) on it. The lock goes with the last descriptor, so with the
-//   process however it ends; the file stays, for it says nothing once nobody holds the lock.
-// Must never: be passed to a child (close-on-exec), or wait for the holder.
+// The lock is flock(2) on the file's descriptor, which is closed on exec, so it ends with the process
+// however that ends. The file itself stays; without a holder of the lock it has no meaning. Locking
+// never waits for the holder.
 #pragma once
 
 #include <string>
@@ -15,14 +15,14 @@
   ~Lock();
   Lock(const Lock&) = delete;
   Lock& operator=(const Lock&) = delete;
-  enum class Got { held, locked, failed };
-  // `why` says what went wrong: for `disputed` it names the file and the pid that has it.
-  Got take(const std::string& file, std::string& reason);
-  // The same where the file cannot be written: nothing is made and no pid is left in it.
-  Got acquire_read_only(const std::string& file, std::string& reason);
+  enum class Result { held, locked, failed };
+  // On failure `reason` tells the cause; for `locked` it names the file and the pid of the holder.
+  Result take(const std::string& file, std::string& reason);
+  // Locks a file that cannot be written: it is not created and no pid is stored in it.
+  Result acquire_read_only(const std::string& file, std::string& reason);
 
  private:
-  Got open_and_lock(const std::string& file, int flags, std::string& reason);
+  Result open_and_lock(const std::string& file, int flags, std::string& reason);
   int fd_ = -1;
 };
 
--- a/src/store/memory_copy.cpp
+++ b/src/store/memory_copy.cpp
@@ -1,4 +1,4 @@
-// The copy in memory and its VFS: see the header.
+// In-memory copy of the store files and its VFS.
 #include "store/memory_copy.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 constexpr int kChunk = 64 * 1024;  // bytes
 constexpr int kSector = 4096;      // bytes
 
-// What the engine has room for: its own part, and the bytes that the file has.
+// The file handle that SQLite allocates: its own part, and a pointer to the bytes of the file.
 struct OpenFile {
   sqlite3_file base;
   std::shared_ptr<MemoryCopy::Bytes>* bytes;
@@ -30,11 +30,11 @@
 int read(sqlite3_file* file, void* to, int length, sqlite3_int64 at) {
   const MemoryCopy::Bytes& bytes = bytes_of(file);
   const auto from = std::min(static_cast<std::size_t>(at), bytes.size());
-  const auto wanted = static_cast<std::size_t>(length);
-  const std::size_t there = std::min(wanted, bytes.size() - from);
-  std::memcpy(to, bytes.data() + from, there);
-  std::memset(static_cast<char*>(to) + there, 0, wanted - there);
-  return there == wanted ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
+  const auto requested = static_cast<std::size_t>(length);
+  const std::size_t available = std::min(requested, bytes.size() - from);
+  std::memcpy(to, bytes.data() + from, available);
+  std::memset(static_cast<char*>(to) + available, 0, requested - available);
+  return available == requested ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
 }
 
 int write(sqlite3_file* file, const void* from, int length, sqlite3_int64 at) {
@@ -70,7 +70,7 @@
 int sector_size(sqlite3_file*) { return kSector; }
 int characteristics(sqlite3_file*) { return 0; }
 
-// Version 1: the log's index is in the engine's memory, as nothing is shared.
+// Version 1, without shared memory: SQLite keeps the log's index on its heap, as nothing is shared.
 const sqlite3_io_methods kMethods{
     1,       close,       read,    write,       truncate,        sync,    file_size, lock,
     lock,    is_reserved, control, sector_size, characteristics, nullptr, nullptr,   nullptr,
@@ -78,7 +78,7 @@
 
 int open(sqlite3_vfs* vfs, const char* path, sqlite3_file* file, int flags, int* out_flags) {
   file->pMethods = nullptr;
-  if (path == nullptr) return SQLITE_CANTOPEN;  // a temporary file: none is asked for
+  if (path == nullptr) return SQLITE_CANTOPEN;  // a temporary file, which the store never needs
   auto& files = copy_of(vfs).files;
   auto found = files.find(path);
   if (found == files.end()) {
@@ -101,19 +101,19 @@
   return SQLITE_OK;
 }
 
-// As it is: the files are known by the names under which they were copied.
-int full_path(sqlite3_vfs*, const char* path, int room, char* out) {
+// Returns the path unchanged: files are known by the names under which they were copied.
+int full_path(sqlite3_vfs*, const char* path, int remaining, char* out) {
   const std::size_t length = std::strlen(path) + 1;
-  if (length > static_cast<std::size_t>(room)) return SQLITE_CANTOPEN;
+  if (length > static_cast<std::size_t>(remaining)) return SQLITE_CANTOPEN;
   std::memcpy(out, path, length);
   return SQLITE_OK;
 }
 
 int copy_file(sqlite3_vfs& vfs, const std::string& file, std::uint64_t max_bytes, MemoryCopy::Bytes& to) {
-  int there = 0;  // and not empty
-  if (const int rc = vfs.xAccess(&vfs, file.c_str(), SQLITE_ACCESS_EXISTS, &there); rc != SQLITE_OK)
+  int available = 0;  // exists and is not empty
+  if (const int rc = vfs.xAccess(&vfs, file.c_str(), SQLITE_ACCESS_EXISTS, &available); rc != SQLITE_OK)
     return rc;
-  if (there == 0) return SQLITE_OK;
+  if (available == 0) return SQLITE_OK;
   VfsFile from(vfs);
   if (const int rc = from.open(file, SQLITE_OPEN_READONLY); rc != SQLITE_OK) return rc;
   sqlite3_int64 size = 0;
@@ -149,12 +149,12 @@
                      std::string& failed) {
   sqlite3_vfs* from = sqlite3_vfs_find(vfs.empty() ? nullptr : vfs.c_str());
   if (from == nullptr) return SQLITE_CANTOPEN;
-  std::uint64_t room = max_bytes;
-  for (const std::string_view end : {"-journal", "-wal", ""}) {
-    failed = database_file + std::string(end);
+  std::uint64_t remaining = max_bytes;
+  for (const std::string_view suffix : {"-journal", "-wal", ""}) {
+    failed = database_file + std::string(suffix);
     Bytes bytes;
-    if (const int rc = copy_file(*from, failed, room, bytes); rc != SQLITE_OK) return rc;
-    room -= bytes.size();
+    if (const int rc = copy_file(*from, failed, remaining, bytes); rc != SQLITE_OK) return rc;
+    remaining -= bytes.size();
     if (!bytes.empty()) files[failed] = std::make_shared<Bytes>(std::move(bytes));
   }
   return SQLITE_OK;
--- a/src/store/read_only.h
+++ b/src/store/read_only.h
@@ -1,16 +1,17 @@
-// A store whose disk can be read and not be written: what it holds is read all the same.
+// Reads the store when its disk can be read but not written.
 //
-// Owns: the reading, with the same proof as an opening, of a copy in memory. Must never: change a file, or
-//   take what it cannot prove.
+// Verifies and reads a copy in memory in the same way as Store::open(). Never changes a file and
+// returns nothing that it cannot verify.
 #pragma once
 
 #include "store/store.h"
 
 namespace reeltack::store {
 
-// As Store::open(). Where the machine refused to open it for writing and what is there can be proven:
-// `read_only`, with the records, and `why` says what was refused. Where another process is found to have it,
-// or the copy cannot be read or proven, it stays `failed`, with both reasons.
+// Like Store::open(). If the system refused to open the store for writing and its content can be
+// verified, the result is `read_only` with the records, and `reason` tells what was refused. If another
+// process holds the store, or the copy cannot be read or verified, the result stays `failed`, with both
+// reasons.
 OpenResult open_or_read(const StoreSettings& settings);
 
 }  // namespace reeltack::store
--- a/src/store/record_bound.h
+++ b/src/store/record_bound.h
@@ -1,6 +1,5 @@
-// Divides a batch by the store's bound on records, so that what fits need not wait for what does not.
-//
-// Owns: the rule alone. Must never: touch a disk.
+// Splits a batch by the store's limit on records, so that changes that fit need not wait for those that
+// do not. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +13,13 @@
 
 struct RecordBound {
   std::size_t stored = 0;  // records in the store now
-  std::size_t most = 0;
+  std::size_t max = 0;
   std::function<bool(const std::string& key)> is_stored;
 };
 
-// Overwrites and erasures always fit, and an erasure makes room for a new key of the same batch, for they are
-// written as one. New keys take what room there is in their order; the others are left over. Each key is in
-// `changes` at most once; both parts keep the order.
+// Overwrites and erasures always fit, and an erasure makes room for a new key of the same batch, as
+// both are written in one transaction. New keys use the remaining capacity in their order; the others
+// are deferred. Each key occurs at most once in `changes`. Both parts keep the order.
 BatchSplit divide(std::vector<Change> changes, const RecordBound& bound);
 
 }  // namespace reeltack::store
--- a/src/store/sqlite.cpp
+++ b/src/store/sqlite.cpp
@@ -1,9 +1,9 @@
-// SQLite's handles: see the header.
+// SQLite connection and statements.
 #include "store/sqlite.h"
 
 namespace reeltack::store {
 
-void Statement::drop() {
+void Statement::finalize() {
   sqlite3_finalize(handle_);
   handle_ = nullptr;
 }
@@ -20,7 +20,7 @@
 
 int Statement::run() {
   const int stepped = step();
-  const int ended = finish();
+  const int ended = reset();
   return stepped == SQLITE_DONE || stepped == SQLITE_ROW ? ended : stepped;
 }
 
@@ -52,14 +52,14 @@
   return sqlite3_exec(handle_, sql.c_str(), nullptr, nullptr, nullptr);
 }
 
-int Database::first_row(const std::string& sql, const std::function<void(const Statement&)>& take) {
-  Statement ask;
-  if (const int rc = ask.prepare(handle_, sql.c_str()); rc != SQLITE_OK) return rc;
-  int rc = ask.step();
+int Database::first_row(const std::string& sql, const std::function<void(const Statement&)>& read_row) {
+  Statement statement;
+  if (const int rc = statement.prepare(handle_, sql.c_str()); rc != SQLITE_OK) return rc;
+  int rc = statement.step();
   if (rc == SQLITE_DONE) return SQLITE_NOTFOUND;
   if (rc != SQLITE_ROW) return rc;
-  take(ask);
-  while (rc == SQLITE_ROW) rc = ask.step();
+  read_row(statement);
+  while (rc == SQLITE_ROW) rc = statement.step();
   return rc == SQLITE_DONE ? SQLITE_OK : rc;
 }
 
@@ -79,7 +79,7 @@
       return ErrorCode::none;
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
-    case SQLITE_ERROR:  // our own statements are right, so the schema they met is not ours
+    case SQLITE_ERROR:  // the store's statements are correct, so the schema must be another one
     case SQLITE_NOTFOUND:
       return ErrorCode::damaged;
     case SQLITE_FULL:
--- a/src/store/sqlite.h
+++ b/src/store/sqlite.h
@@ -1,6 +1,5 @@
-// SQLite's handles with their ends, and its results as this room's reasons.
-//
-// Owns: one connection and its statements. Must never: know what a row means, or be used by two threads.
+// RAII wrappers of SQLite's connection and statement, and the mapping of its result codes to ErrorCode.
+// They know nothing of the meaning of rows. Not thread-safe.
 #pragma once
 
 #include <sqlite3.h>
@@ -21,13 +20,13 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
   int prepare(sqlite3* on, const char* sql);
-  // The bytes are not copied: they must stay until the step is done. An empty view is an empty blob, not
-  // NULL.
+  // The bytes are not copied: they must stay valid until the step is done. An empty view is bound as an
+  // empty blob, not as NULL.
   void bind(int place, std::string_view bytes);
   int step() { return sqlite3_step(handle_); }
-  int finish() { return sqlite3_reset(handle_); }
-  void drop();
-  int run();  // a step that gives no row, and the end of it
+  int reset() { return sqlite3_reset(handle_); }
+  void finalize();
+  int run();  // one step that returns no row, then reset()
   [[nodiscard]] std::string_view blob(int column) const;
   [[nodiscard]] std::int64_t number(int column) const { return sqlite3_column_int64(handle_, column); }
   [[nodiscard]] bool is_blob(int column) const { return sqlite3_column_type(handle_, column) == SQLITE_BLOB; }
@@ -44,17 +43,17 @@
   Database& operator=(const Database&) = delete;
   int open(const std::string& file, const std::string& vfs);
   void close();
-  // Whether the log is carried over into the file at the end and removed, or both are left as they are.
+  // Whether close() checkpoints the log into the database file and removes it, or leaves both as they are.
   void set_checkpoint_on_close(bool yes);
   int run(const std::string& sql);
-  int number(const std::string& sql, std::int64_t& value);  // SQLITE_NOTFOUND where there is no row
+  int number(const std::string& sql, std::int64_t& value);  // SQLITE_NOTFOUND if there is no row
   int text(const std::string& sql, std::string& value);     // as above
   [[nodiscard]] sqlite3* handle() const { return handle_; }
   [[nodiscard]] std::string error() const { return sqlite3_errmsg(handle_); }
 
  private:
-  // Runs the statement to its end: what it changes (a journal mode) is committed after its row.
-  int first_row(const std::string& sql, const std::function<void(const Statement&)>& take);
+  // Runs the statement to its end, because a change it makes (a journal mode) is committed after its row.
+  int first_row(const std::string& sql, const std::function<void(const Statement&)>& read_row);
   sqlite3* handle_ = nullptr;
 };
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -1,4 +1,4 @@
-// The store: how it is opened, and what becomes of one that cannot be read.
+// Opens the store, sets aside one that cannot be read, and checks batches before they are written.
 #include "store/store.h"
 
 #include <map>
@@ -45,14 +45,14 @@
   return "failed";
 }
 
-struct Store::Inside : Contents {
+struct Store::Impl : Contents {
   using Contents::Contents;
 };
 
-Store::Store(std::unique_ptr<Inside> inside) : inside_(std::move(inside)) {}
+Store::Store(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 Store::~Store() = default;
-const std::string& Store::file() const { return inside_->file; }
-std::uint64_t Store::generation() const { return inside_->seal.generation; }
+const std::string& Store::file() const { return impl_->file; }
+std::uint64_t Store::generation() const { return impl_->seal.generation; }
 
 OpenResult Store::open(const StoreSettings& settings) {
   using How = OpenResult::How;
@@ -61,32 +61,32 @@
     out.reason = "the fleet's or the owner's name is over " + std::to_string(kMaxNameBytes) + " bytes";
     return out;
   }
-  auto inside = std::make_unique<Inside>(settings);
+  auto impl = std::make_unique<Impl>(settings);
   Folder folder(settings.dir, settings.faults);
   if (!folder.make(out.reason)) return out;
-  switch (folder.lock(inside->lock, out.reason)) {
-    case Lock::Got::held:
+  switch (folder.lock(impl->lock, out.reason)) {
+    case Lock::Result::held:
       break;
-    case Lock::Got::locked:
+    case Lock::Result::locked:
       out.how = How::refused;
       return out;
-    case Lock::Got::failed:
+    case Lock::Result::failed:
       return out;
   }
-  bool made = false;
-  WriteResult done;
+  bool created = false;
+  WriteResult result;
   const std::uint64_t size = folder.size("store.db");
-  // Both would pass for a new file, and the engine would write over what is there.
+  // SQLite would treat both cases as a new file and overwrite what is there.
   if (size == 0 && folder.size("store.db-wal") > 0) {
-    done = inside->fail(ErrorCode::damaged, "is empty or gone, but its log is not");
-  } else if (size > 0 && size < kPage && folder.size("store.db-journal") == 0) {
-    done = inside->fail(ErrorCode::damaged, "is shorter than its first page");
+    result = impl->fail(ErrorCode::damaged, "is empty or gone, but its log is not");
+  } else if (size > 0 && size < kPageBytes && folder.size("store.db-journal") == 0) {
+    result = impl->fail(ErrorCode::damaged, "is shorter than its first page");
   } else {
-    done = inside->load(out.records, made);
+    result = impl->load(out.records, created);
   }
-  if (done.code == ErrorCode::damaged) {
-    const std::string reason = done.text;
-    inside->unload();
+  if (result.code == ErrorCode::damaged) {
+    const std::string reason = result.text;
+    impl->unload();
     if (!folder.set_aside(out.aside_path, out.reason)) {
       out.reason = reason + "; " + out.reason;
       out.records.clear();
@@ -94,53 +94,55 @@
     }
     out.how = How::set_aside;
     out.reason = reason;
-    done = inside->load(out.records, made);
+    result = impl->load(out.records, created);
   } else {
-    out.how = made ? How::fresh : How::opened;
+    out.how = created ? How::fresh : How::opened;
   }
-  // Names must be as durable as content, at each opening: were the making's journal there again after a power
-  // loss, it would take the file back to nothing. The process before may have died before it came here.
+  // Directory entries must be as durable as the content, so they are synced at each opening: if the
+  // journal of the creation reappeared after a power loss, it would roll the file back to nothing. The
+  // previous process may have died before it got here.
   std::string unsynced;
-  if (done.ok() && !folder.sync(unsynced)) done = {ErrorCode::io, unsynced};
-  if (!done.ok()) {
+  if (result.ok() && !folder.sync(unsynced)) result = {ErrorCode::io, unsynced};
+  if (!result.ok()) {
     out.how = How::failed;
-    out.reason = (out.aside_path.empty() ? "" : out.reason + "; ") + done.text;
+    out.reason = (out.aside_path.empty() ? "" : out.reason + "; ") + result.text;
     out.records.clear();
     return out;
   }
   for (const StoredRecord& k : out.records)
     out.foreign += k.fleet != settings.fleet || k.owner != settings.owner ? 1 : 0;
-  out.store.reset(new Store(std::move(inside)));
+  out.store.reset(new Store(std::move(impl)));
   return out;
 }
 
 BatchSplit Store::divide(std::vector<Change> changes) const {
-  const auto& sums = inside_->sums;
-  return store::divide(std::move(changes), {sums.size(), inside_->settings.max_records,
-                                            [&sums](const std::string& key) { return sums.contains(key); }});
+  const auto& checksums = impl_->checksums;
+  return store::divide(std::move(changes),
+                       {checksums.size(), impl_->settings.max_records,
+                        [&checksums](const std::string& key) { return checksums.contains(key); }});
 }
 
 WriteResult Store::write(const std::vector<Change>& changes, clocks::WallTime written_at,
                          const clocks::BootTime& written_since_boot) {
-  Inside& in = *inside_;
-  if (in.damaged) return in.fail(ErrorCode::damaged, "was found damaged; open it anew");
+  Impl& impl = *impl_;
+  if (impl.damaged) return impl.fail(ErrorCode::damaged, "was found damaged; open it anew");
   std::map<std::string_view, const Change*> last;
   for (const Change& c : changes) {
     if (c.key.empty() || c.key.size() > kMaxKeyBytes || (c.value && c.value->size() > kMaxValueBytes)) {
-      return in.fail(ErrorCode::too_big, "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " +
-                                             std::to_string(kMaxKeyBytes) + " bytes and a value of at most " +
-                                             std::to_string(kMaxValueBytes));
+      return impl.fail(ErrorCode::too_big,
+                       "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " + std::to_string(kMaxKeyBytes) +
+                           " bytes and a value of at most " + std::to_string(kMaxValueBytes));
     }
     last[c.key] = &c;
   }
-  WriteResult done = in.bound_log();
-  if (done.ok()) done = in.apply(last, {written_at, written_since_boot});
-  if (done.ok()) done = in.verify_files();
-  if (done.code == ErrorCode::damaged) {
-    in.damaged = true;
-    in.database.set_checkpoint_on_close(false);
+  WriteResult result = impl.limit_log_size();
+  if (result.ok()) result = impl.apply(last, {written_at, written_since_boot});
+  if (result.ok()) result = impl.verify_files();
+  if (result.code == ErrorCode::damaged) {
+    impl.damaged = true;
+    impl.database.set_checkpoint_on_close(false);
   }
-  return done;
+  return result;
 }
 
 }  // namespace reeltack::store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,17 +1,18 @@
-// What lasts across a power loss: a few records in one file of one folder, each whole or not there at all.
+// Durable key-value store: a few records in one SQLite file, each batch written completely or not at
+// all, also across a power loss.
 //
-// Owns: the folder's `store.db`, its log `store.db-wal` and its lock `store.lock`; what is read at the start
-// is
-//   proven there: structure (the engine's check), each record (XXH3 of xxHash over key, names and value), and
-//   all of them together (a seal with their count and the sum of their checksums, in the same transaction).
-// Must never: take wrong content for right, delete what it cannot read, know what a value means, or be called
-//   by the core (it waits for the disk; see store/keeper.h).
+// The folder holds `store.db`, its log `store.db-wal` and the lock `store.lock`. At opening everything
+// is verified: the structure (by SQLite's check), each record (XXH3 of xxHash over key, names and
+// value), and all records together (a seal with their count and the sum of their checksums, written in
+// the same transaction). Wrong content is never accepted as valid, and unreadable files are never
+// deleted. The store does not interpret values.
 //
-// Threads: one at a time. Errors: none is thrown but std::bad_alloc; each call says what went wrong in words
-// that name the file. Times: the Unix clock and the machine's since its boot, told by the caller. A full disk
-// comes as an error; where a limit on a file's size is set for the process (RLIMIT_FSIZE), SIGXFSZ must be
-// ignored for it to come as one. Sources: SQLite's file format and its "Atomic Commit" and "Write-Ahead
-// Logging"; docs/design/store.md.
+// Calls wait for the disk, so the core must not make them; see store/keeper.h. Not thread-safe. Errors:
+// only std::bad_alloc is thrown; each call returns a text that names the file. Times (the Unix clock
+// and the time since boot) are passed in by the caller. A full disk is reported as an error. If the
+// process has a limit on file sizes (RLIMIT_FSIZE), SIGXFSZ must be ignored for that to be reported as
+// an error, too. References: SQLite's file format, "Atomic Commit" and "Write-Ahead Logging";
+// docs/design/store.md.
 #pragma once
 
 #include <cstddef>
@@ -34,32 +35,32 @@
 inline constexpr std::size_t kMaxNameBytes = 64;                        // bytes of a fleet's or owner's name
 
 struct StoreSettings {
-  std::string dir;                                    // made where it is missing (its parent must be there)
-  std::string fleet;                                  // stands beside each record written
-  std::string owner;                                  // this controller's name; a copied file tells by it
-  std::uint16_t format = 1;                           // of the values, as the writer understands them
-  std::size_t max_bytes = std::size_t{64} << 20;      // of store.db; beyond it a write is `full`
-  std::size_t max_records = 4096;                     // beyond it a write is `full`
-  int checkpoint_pages = 256;                         // of 4 KiB: the log is carried over from this size on
-  std::size_t max_log_bytes = std::size_t{16} << 20;  // a log that cannot be carried over grows to this
-  std::string vfs;                  // for tests: the name of an SQLite VFS; else the system's
-  FaultInjector* faults = nullptr;  // for tests: outlives the store
+  std::string dir;           // created if missing; its parent must exist
+  std::string fleet;         // stored with each record
+  std::string owner;         // this controller's name; reveals a file copied from another
+  std::uint16_t format = 1;  // version of the values, as defined by the writer
+  std::size_t max_bytes = std::size_t{64} << 20;      // of store.db; beyond it a write fails as `full`
+  std::size_t max_records = 4096;                     // beyond it a write fails as `full`
+  int checkpoint_pages = 256;                         // of 4 KiB: size of the log that triggers a checkpoint
+  std::size_t max_log_bytes = std::size_t{16} << 20;  // limit of a log that cannot be checkpointed
+  std::string vfs;                                    // for tests: name of an SQLite VFS; empty: the system's
+  FaultInjector* faults = nullptr;                    // for tests; must outlive the store
 };
 
-// A change of one key: its new value, or nothing to take it away.
+// A change of one key: its new value, or no value to erase it.
 struct Change {
   std::string key;
   std::optional<std::string> value;
 };
 
-// A batch in two parts: what the store's bound on records lets in, and what it does not.
+// A batch split by the store's limit on records.
 struct BatchSplit {
   std::vector<Change> fits;
   std::vector<Change> deferred;
 };
 
-// A record as it was found. Whose it is and when it was written is told, not judged: the clock may have been
-// wrong, and the file may have been copied.
+// A record as found in the store. Owner and time of writing are returned without judgement: the clock
+// may have been wrong, and the file may have been copied.
 struct StoredRecord {
   std::string key;
   std::string value;
@@ -67,17 +68,17 @@
   std::string owner;
   std::uint16_t format = 0;
   clocks::WallTime written_at{};
-  clocks::BootTime written_since_boot{};  // its boot is not known in records of older programs
+  clocks::BootTime written_since_boot{};  // without a boot id in records of older versions
 };
 
 enum class ErrorCode {
-  none,     // done
-  too_big,  // a key, a value or a name over its bound; nothing was tried
-  full,     // the disk, or this store's own bounds; nothing was changed
-  io,       // the machine refused (permission, EIO, memory): may pass
-  damaged,  // the content is wrong, or the files are no longer those of the folder: this store writes no
-            // more; open anew, which sets aside what is wrong
-  locked,   // another process has it
+  none,     // success
+  too_big,  // a key, value or name over its limit; nothing was attempted
+  full,     // the disk or a limit of the store; nothing was changed
+  io,       // refused by the system (permission, EIO, memory); may be temporary
+  damaged,  // the content is wrong, or the open files are no longer those in the folder; this store accepts
+            // no more writes. Reopen it, which sets unreadable files aside
+  locked,   // in use by another process
 };
 std::string_view name(ErrorCode code);
 
@@ -91,33 +92,33 @@
 
 class Store {
  public:
-  // Opens or makes the store and reads all of it; waits for the disk.
+  // Opens or creates the store, verifies it and reads all of it. Waits for the disk.
   static OpenResult open(const StoreSettings& settings);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // All changes or none, durable on return where ok(); otherwise the old or the new state is what a later
-  // open() finds (the old one, unless the power goes in the same moment). Of several changes to a key the
-  // last counts.
+  // Writes all changes or none; durable on return if ok(). Otherwise a later open() finds the old or
+  // the new state (the old one, unless the power fails at that very moment). Of several changes of a
+  // key the last one counts.
   WriteResult write(const std::vector<Change>& changes, clocks::WallTime written_at,
                     const clocks::BootTime& written_since_boot = {});
 
-  // What of a batch write() would not refuse as beyond `max_records`; see store/record_bound.h.
+  // Splits a batch into what write() accepts within `max_records` and the rest; see store/record_bound.h.
   [[nodiscard]] BatchSplit divide(std::vector<Change> changes) const;
 
   [[nodiscard]] const std::string& file() const;
   [[nodiscard]] std::uint64_t generation() const;  // batches ever written to this file
 
  private:
-  struct Inside;
-  explicit Store(std::unique_ptr<Inside> inside);
-  std::unique_ptr<Inside> inside_;
+  struct Impl;
+  explicit Store(std::unique_ptr<Impl> impl);
+  std::unique_ptr<Impl> impl_;
 };
 
 struct OpenResult {
   enum class How {
-    fresh,      // nothing was there
+    fresh,      // there was no store
     opened,     // `kept` is what was there
     set_aside,  // unreadable: renamed to `where`, said in `why`; the store is empty
     refused,    // another process has it: no store; `why` names the file and the pid
@@ -125,10 +126,10 @@
     failed,     // the machine refused: no store, nothing was renamed
   };
   How how = How::failed;
-  std::unique_ptr<Store> store;       // not for refused, read_only and failed
-  std::vector<StoredRecord> records;  // in order of key
-  std::size_t foreign = 0;            // how many of them name another fleet or owner
-  std::string reason;                 // for all but fresh and opened
+  std::unique_ptr<Store> store;       // null for refused, read_only and failed
+  std::vector<StoredRecord> records;  // ordered by key
+  std::size_t foreign = 0;            // number of records of another fleet or owner
+  std::string reason;                 // empty for fresh and opened
   std::string aside_path;             // for set_aside: the file's new name; its log's is that and "-wal"
 };
 std::string_view name(OpenResult::How how);
--- a/src/store/vfs_file.h
+++ b/src/store/vfs_file.h
@@ -1,6 +1,5 @@
-// One open file of an SQLite VFS, for whole files outside the engine.
-//
-// Owns: the handle and its end. Must never: be used on a file that the engine has open.
+// An open file of an SQLite VFS, to read or rewrite a file outside of SQLite. Must not be used on a
+// file that SQLite has open.
 #pragma once
 
 #include <sqlite3.h>
@@ -19,9 +18,9 @@
   VfsFile(const VfsFile&) = delete;
   VfsFile& operator=(const VfsFile&) = delete;
 
-  // Each gives SQLITE_OK or the VFS's result. `access`: SQLITE_OPEN_READWRITE or SQLITE_OPEN_READONLY.
+  // Each returns SQLITE_OK or the result of the VFS. `access`: SQLITE_OPEN_READWRITE or SQLITE_OPEN_READONLY.
   int open(const std::string& file, int access) {
-    // As the one kind of file for which the engine takes no lock and looks at no other file.
+    // A super-journal is the only kind of file for which the VFS takes no lock and examines no other file.
     return vfs_.xOpen(&vfs_, file.c_str(), get(), access | SQLITE_OPEN_SUPER_JOURNAL, nullptr);
   }
   int close() {
@@ -39,7 +38,7 @@
  private:
   sqlite3_file* get() { return reinterpret_cast<sqlite3_file*>(memory_.data()); }
   sqlite3_vfs& vfs_;
-  std::vector<std::max_align_t> memory_;  // zeroed: no methods, so not open
+  std::vector<std::max_align_t> memory_;  // zeroed, thus without methods: not open
 };
 
 }  // namespace reeltack::store
--- a/src/store/write_again.cpp
+++ b/src/store/write_again.cpp
@@ -1,4 +1,4 @@
-// The files written again: see the header.
+// Rewrites and syncs the files of a store.
 #include "store/write_again.h"
 
 #include <sqlite3.h>
@@ -14,7 +14,7 @@
 
 constexpr sqlite3_int64 kChunk = sqlite3_int64{64} * 1024;  // bytes
 
-int write_all_again(VfsFile& file) {
+int rewrite_all(VfsFile& file) {
   sqlite3_int64 size = 0;
   int rc = file.size(size);
   std::vector<char> bytes(static_cast<std::size_t>(std::min(size, kChunk)));
@@ -26,14 +26,14 @@
   return rc == SQLITE_OK ? file.sync() : rc;
 }
 
-int write_one_again(sqlite3_vfs& vfs, const std::string& file) {
-  int there = 0;  // and not empty
-  if (const int rc = vfs.xAccess(&vfs, file.c_str(), SQLITE_ACCESS_EXISTS, &there); rc != SQLITE_OK)
+int rewrite_file(sqlite3_vfs& vfs, const std::string& file) {
+  int exists = 0;  // exists and is not empty
+  if (const int rc = vfs.xAccess(&vfs, file.c_str(), SQLITE_ACCESS_EXISTS, &exists); rc != SQLITE_OK)
     return rc;
-  if (there == 0) return SQLITE_OK;
+  if (exists == 0) return SQLITE_OK;
   VfsFile open(vfs);
   int rc = open.open(file, SQLITE_OPEN_READWRITE);
-  if (rc == SQLITE_OK) rc = write_all_again(open);
+  if (rc == SQLITE_OK) rc = rewrite_all(open);
   return rc;
 }
 
@@ -43,9 +43,9 @@
   if (const int rc = sqlite3_initialize(); rc != SQLITE_OK) return rc;
   sqlite3_vfs* found = sqlite3_vfs_find(vfs.empty() ? nullptr : vfs.c_str());
   if (found == nullptr) return SQLITE_CANTOPEN;
-  for (const std::string_view end : {"-journal", "-wal", ""}) {
-    failed = database_file + std::string(end);
-    if (const int rc = write_one_again(*found, failed); rc != SQLITE_OK) return rc;
+  for (const std::string_view suffix : {"-journal", "-wal", ""}) {
+    failed = database_file + std::string(suffix);
+    if (const int rc = rewrite_file(*found, failed); rc != SQLITE_OK) return rc;
   }
   return SQLITE_OK;
 }
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -1,4 +1,4 @@
-// The keeper's writing thread: see the header.
+// The writing thread of the asynchronous store.
 #include "store/writer.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-constexpr milliseconds kBetweenCalls{10};
+constexpr milliseconds kCallPollInterval{10};
 
 WriteResult no_store(const OpenResult& opened) {
   return {opened.how == OpenResult::How::refused ? ErrorCode::locked : ErrorCode::io, opened.reason};
@@ -24,7 +24,7 @@
     : store_settings_(std::move(store)),
       settings_(std::move(settings)),
       store_(std::move(opened.store)),
-      looked_(store_ != nullptr),
+      opened_before_(store_ != nullptr),
       no_store_(no_store(opened)),
       queue_(settings_.max_bytes, settings_.max_keys),
       report_(settings_.first_reminder, settings_.last_reminder),
@@ -38,24 +38,24 @@
   if (store_ == nullptr) {
     wait = settings_.first_retry;
     std::unique_lock lock(mutex_);
-    const auto news = failed(no_store_.code, no_store_.text);
+    const auto event_to_report = failed(no_store_.code, no_store_.text);
     lock.unlock();
-    tell(news);
+    report_event(event_to_report);
   }
   for (bool last = false; !last;) {
     last = wait_for_work(wait);
     const Outcome outcome = attempt();
-    if (outcome == Outcome::given_up) return;
+    if (outcome == Outcome::abandoned) return;
     wait = outcome == Outcome::done ? milliseconds{0}
                                     : std::clamp(wait * 2, settings_.first_retry, settings_.last_retry);
   }
-  if (!calls_.make([this] { store_.reset(); })) return;
+  if (!calls_.run_call([this] { store_.reset(); })) return;
   const std::lock_guard lock(mutex_);
   run_ended_ = true;
   ended_.notify_all();
 }
 
-// Whether this is the last time.
+// Waits for the retry delay or a new change; true if the writer is stopping.
 bool Writer::wait_for_work(milliseconds wait) {
   std::unique_lock lock(mutex_);
   if (wait.count() > 0) {
@@ -75,72 +75,72 @@
 
 Writer::Outcome Writer::open_store() {
   OpenResult opened;
-  if (!calls_.make([&] { opened = Store::open(store_settings_); })) return Outcome::given_up;
+  if (!calls_.run_call([&] { opened = Store::open(store_settings_); })) return Outcome::abandoned;
   store_ = std::move(opened.store);
   if (store_ != nullptr) {
-    after_opening(opened);
+    on_opened(opened);
     return Outcome::done;
   }
   std::unique_lock lock(mutex_);
-  const auto news = failed(no_store(opened).code, opened.reason);
+  const auto event_to_report = failed(no_store(opened).code, opened.reason);
   lock.unlock();
-  tell(news);
+  report_event(event_to_report);
   return Outcome::failed;
 }
 
-void Writer::after_opening(const OpenResult& opened) {
+void Writer::on_opened(const OpenResult& opened) {
   io_failures_ = 0;
-  if (!looked_ && settings_.on_records_found) settings_.on_records_found(opened.records);
-  looked_ = true;
+  if (!opened_before_ && settings_.on_records_found) settings_.on_records_found(opened.records);
+  opened_before_ = true;
   std::unique_lock lock(mutex_);
   queue_.restore(opened.records, store_settings_.fleet, store_settings_.owner);
-  const bool news = opened.how != OpenResult::How::opened || !opening_told_;
-  opening_told_ = true;
-  if (!news) return;
+  const bool event_to_report = opened.how != OpenResult::How::opened || !opening_reported_;
+  opening_reported_ = true;
+  if (!event_to_report) return;
   AsyncStoreEvent event = this->event(AsyncStoreEvent::Kind::opened);
   lock.unlock();
   event.how = opened.how;
   event.text = opened.reason;
   event.aside_path = opened.aside_path;
-  tell(event);
+  report_event(event);
 }
 
 Writer::Outcome Writer::write_batch() {
   std::unique_lock lock(mutex_);
-  std::vector<Change> batch = queue_.take_batch();
+  std::vector<Change> batch = queue_.take_pending();
   lock.unlock();
   if (batch.empty()) return Outcome::done;
   BatchSplit parts = store_->divide(std::move(batch));
   WriteResult written;
-  const bool returned = calls_.make([&] {
+  const bool returned = calls_.run_call([&] {
     if (!parts.fits.empty()) written = store_->write(parts.fits, base::wall_now(), base::boot_now());
     io_failures_ = written.code == ErrorCode::io ? io_failures_ + 1 : 0;
     if (written.code == ErrorCode::damaged || io_failures_ >= kReopenAfter) store_.reset();
   });
-  if (!returned) return Outcome::given_up;
-  return after_writing(written, std::move(parts));
+  if (!returned) return Outcome::abandoned;
+  return on_written(written, std::move(parts));
 }
 
-// What is left over by the store's bound waits for another change, not for a time: only an erasure makes
-// room.
-Writer::Outcome Writer::after_writing(const WriteResult& written, BatchSplit&& parts) {
-  std::optional<AsyncStoreEvent> news;
+// Changes deferred by the limit on records wait for another change, not for a delay: only an erasure
+// makes room.
+Writer::Outcome Writer::on_written(const WriteResult& written, BatchSplit&& parts) {
+  std::optional<AsyncStoreEvent> event_to_report;
   std::unique_lock lock(mutex_);
   if (!written.ok()) {
-    if (written.code == ErrorCode::damaged) queue_.lose();
+    if (written.code == ErrorCode::damaged) queue_.mark_lost();
     std::move(parts.deferred.begin(), parts.deferred.end(), std::back_inserter(parts.fits));
-    queue_.settle(std::move(parts.fits));
-    news = failed(written.code, written.text);
+    queue_.finish_batch(std::move(parts.fits));
+    event_to_report = failed(written.code, written.text);
   } else {
     if (!parts.fits.empty()) ++counts_.batches;
     counts_.written += parts.fits.size();
     const bool all = parts.deferred.empty();
-    queue_.settle(std::move(parts.deferred));
-    news = all ? recovered() : failed(ErrorCode::full, over_bound());
+    queue_.finish_batch(std::move(parts.deferred));
+    event_to_report = all ? recovered() : failed(ErrorCode::full, over_bound());
   }
   lock.unlock();
   done_.notify_all();
-  tell(news);
+  report_event(event_to_report);
   return written.ok() ? Outcome::done : Outcome::failed;
 }
 
@@ -148,7 +148,7 @@
   return store_->file() + ": over its bound of " + std::to_string(store_settings_.max_records) + " records";
 }
 
-// Called with the lock held. What is to be told of this failure, if anything.
+// Called with the lock held. Returns the event that reports this failure, if it is to be reported.
 std::optional<AsyncStoreEvent> Writer::failed(ErrorCode code, const std::string& text) {
   ++counts_.failures;
   counts_.failing = true;
@@ -160,18 +160,18 @@
   return out;
 }
 
-// Called with the lock held: all that was taken out of the queue is durable.
+// Called with the lock held when the whole batch is durable.
 std::optional<AsyncStoreEvent> Writer::recovered() {
-  std::optional<AsyncStoreEvent> news;
-  if (report_.on()) news = event(AsyncStoreEvent::Kind::written);
+  std::optional<AsyncStoreEvent> event_to_report;
+  if (report_.on()) event_to_report = event(AsyncStoreEvent::Kind::written);
   counts_.failing = false;
-  opening_told_ = false;
+  opening_reported_ = false;
   report_.ended();
-  return news;
+  return event_to_report;
 }
 
-void Writer::tell(const std::optional<AsyncStoreEvent>& event) {
-  if (event) calls_.tell(*event);
+void Writer::report_event(const std::optional<AsyncStoreEvent>& event) {
+  if (event) calls_.report_event(*event);
 }
 
 // Called with the lock held.
@@ -187,12 +187,12 @@
   stopping_ = true;
   work_.notify_all();
   if (ended_.wait_for(lock, settings_.shutdown_timeout, [this] { return run_ended_; })) return true;
-  // Between two calls it is soon in the next one, or through.
+  // Between two calls the writing thread will soon be in the next one, or finished.
   while (!run_ended_) {
     lock.unlock();
-    if (calls_.give_up()) return false;
+    if (calls_.abandon()) return false;
     lock.lock();
-    ended_.wait_for(lock, kBetweenCalls, [this] { return run_ended_; });
+    ended_.wait_for(lock, kCallPollInterval, [this] { return run_ended_; });
   }
   return true;
 }
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -1,11 +1,11 @@
-// What a keeper's writing thread does: it writes what waits as one batch, and tries again where that fails.
+// The work of the writing thread: writes the pending changes as one batch and retries after failures.
 //
-// Owns: the queue, the store while it runs, the rule by which it tries again, and the reports.
-// Must never: hold the lock while the disk is at work, or call its owner after stop() has returned.
+// The lock is not held during calls to the disk, and no callback is invoked after stop() has returned.
 //
-// Threads: run() on the writing thread, watch() on the watching one; the rest from any. `told` is called by
-// one thread at a time, and `found` on the writing one. A call to the disk that never returns keeps run()
-// for good: stop() then gives it up, and what run() still uses must outlive it (see store/keeper.cpp).
+// Thread safety: run() runs on the writing thread, watch() on the watching one, all others on any.
+// `on_event` is called by one thread at a time, `on_records_found` on the writing thread. A call to the
+// disk that never returns blocks run() for good: stop() then abandons it, and everything that run()
+// still uses must outlive it (see store/keeper.cpp).
 #pragma once
 
 #include <condition_variable>
@@ -26,12 +26,12 @@
  public:
   Writer(StoreSettings store, OpenResult&& opened, AsyncStoreSettings settings);
 
-  void run();  // until stop(): writes what waits, once more at the end, and closes the store
+  void run();  // until stop(); then writes pending changes once more and closes the store
   void watch() { calls_.watch(); }  // until stop()
-  // Ends both; false where a call to the disk has not returned within `shutdown_timeout`. Once.
+  // Ends run() and watch(); false if a call to the disk has not returned within `shutdown_timeout`. Call
+  // once.
   [[nodiscard]] bool stop();
-  // After a stop() that was false, once watch() has returned: run() has no more use for the owner's
-  // functions.
+  // Call after stop() returned false and watch() has returned: run() no longer uses the callbacks.
   void forget_owner();
 
   std::uint64_t put(const std::string& key, std::optional<std::string> value);
@@ -42,35 +42,35 @@
   [[nodiscard]] AsyncStoreCounts counts() const;
 
  private:
-  enum class Outcome { done, failed, given_up };
+  enum class Outcome { done, failed, abandoned };
   bool wait_for_work(std::chrono::milliseconds wait);
   Outcome attempt();
   Outcome open_store();
   Outcome write_batch();
-  void after_opening(const OpenResult& opened);
-  Outcome after_writing(const WriteResult& written, BatchSplit&& parts);
+  void on_opened(const OpenResult& opened);
+  Outcome on_written(const WriteResult& written, BatchSplit&& parts);
   [[nodiscard]] std::string over_bound() const;
   std::optional<AsyncStoreEvent> failed(ErrorCode code, const std::string& text);
   std::optional<AsyncStoreEvent> recovered();
-  void tell(const std::optional<AsyncStoreEvent>& event);
+  void report_event(const std::optional<AsyncStoreEvent>& event);
   [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind) const;
 
   const StoreSettings store_settings_;
-  AsyncStoreSettings settings_;   // its functions are dropped where stop() gives run() up
-  std::unique_ptr<Store> store_;  // the writing thread's alone, as the next four
-  bool looked_ = false;           // the store has been opened in this life
-  bool opening_told_ = false;     // in this outage
-  unsigned io_failures_ = 0;      // in a row
-  const WriteResult no_store_;    // why none was given
+  AsyncStoreSettings settings_;    // its callbacks are cleared when stop() abandons run()
+  std::unique_ptr<Store> store_;   // this and the next four: used by the writing thread only
+  bool opened_before_ = false;     // the store has been opened in this run
+  bool opening_reported_ = false;  // in the current outage
+  unsigned io_failures_ = 0;       // consecutive
+  const WriteResult no_store_;     // why the constructor received no store
 
   mutable std::mutex mutex_;
   std::condition_variable work_, done_, ended_;
   ChangeQueue queue_;
-  AsyncStoreCounts counts_;  // but for those of the queue
+  AsyncStoreCounts counts_;  // except the queue's counters
   bool stopping_ = false;
   bool run_ended_ = false;
   FailureReporter report_;
-  DiskCallMonitor calls_;  // its lock is taken after mutex_
+  DiskCallMonitor calls_;  // its own mutex is acquired after mutex_
 };
 
 }  // namespace reeltack::store
--- a/tests/circuits/connected_ends.h
+++ b/tests/circuits/connected_ends.h
@@ -1,4 +1,4 @@
-// Two real ends of a trunk group, connected and audited, as the tests of single cases begin with.
+// Two connected and audited ends of a trunk group, the starting point of most tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,21 +11,23 @@
 
 using Ends = TwoEnds<Group>;
 
-// Both ends connected, their first audit done.
-inline Ends made(std::uint32_t size, Hunting hunting = Hunting::opposite) {
+// Both ends are connected and have completed the first audit.
+inline Ends connected_ends(std::uint32_t size, Hunting hunting = Hunting::opposite) {
   Ends w(settings_of(size, true, hunting), settings_of(size, false, hunting));
   w.connect();
-  w.quiet(std::chrono::milliseconds(100));
+  w.run_for(std::chrono::milliseconds(100));
   EXPECT_EQ(w.ends[0].selectable(), size);
   EXPECT_EQ(w.ends[1].selectable(), size);
   return w;
 }
 
-// Indices of the ends: that with the higher point code, and the other.
+// Indices of the ends: the one with the higher point code, and the other.
 inline constexpr std::size_t kHigh = 0;
 inline constexpr std::size_t kLow = 1;
 
-// By when a stuck circuit must be free again, with a margin for messages on their way.
-inline Duration bound(const Ends& w) { return max_settle_time(w.settings[0]) + std::chrono::seconds(1); }
+// Time after which a stuck circuit must be free again, with a margin for messages in flight.
+inline Duration settle_time(const Ends& w) {
+  return max_settle_time(w.settings[0]) + std::chrono::seconds(1);
+}
 
 }  // namespace reeltack::circuits::test
--- a/tests/circuits/idle_set_test.cpp
+++ b/tests/circuits/idle_set_test.cpp
@@ -1,4 +1,4 @@
-// The set of idle circuits against plain containers.
+// IdleSet compared with standard containers.
 #include "circuits/idle_set.h"
 
 #include <gtest/gtest.h>
--- a/tests/circuits/model_test.cpp
+++ b/tests/circuits/model_test.cpp
@@ -1,6 +1,6 @@
-// Model checking: two ends, two circuits, three calls, every interleaving of messages, a break of the
-// connection and a restart anywhere. After each state that is reached the network is also left in peace for
-// the bound, and nothing may be stuck then.
+// Model checking: two ends, two circuits, three calls, all interleavings of messages, with a break of
+// the connection and a restart at any point. From each state reached, the network is also left alone
+// for the settle time, after which nothing may be stuck.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -30,26 +30,26 @@
   };
   explicit Search(const Budget& budget) : budget_(budget) {}
 
-  // The first path to a fault, or nothing.
+  // Returns the first path to a fault, or an empty string.
   std::string run() {
     TwoEnds<G> start(settings_of(2, true), settings_of(2, false));
     start.connect();
-    start.quiet(std::chrono::seconds(1));
+    start.run_for(std::chrono::seconds(1));
     std::vector<Node> level{{start, 0, 0, ""}};
-    seen_.insert(hash(level.front()));
+    visited_.insert(hash(level.front()));
     for (int depth = 0; depth < budget_.depth && !level.empty() && fault_.empty(); ++depth) {
       std::vector<Node> next;
       for (const Node& node : level) {
         expand(node, next);
-        if (!fault_.empty() || seen_.size() >= budget_.states) break;
+        if (!fault_.empty() || visited_.size() >= budget_.states) break;
       }
       reached_ = depth + 1;
-      if (seen_.size() >= budget_.states) break;
+      if (visited_.size() >= budget_.states) break;
       level = std::move(next);
     }
     return fault_;
   }
-  [[nodiscard]] std::size_t states() const { return seen_.size(); }
+  [[nodiscard]] std::size_t states() const { return visited_.size(); }
   [[nodiscard]] int depth() const { return reached_; }
 
  private:
@@ -66,13 +66,13 @@
     to.path += (to.path.empty() ? "" : ", ") + name;
     try {
       act(to);
-      to.world.one_call_a_circuit();
-      if (!seen_.insert(hash(to)).second) return;
-      // Left in peace from here: what was in work is finished by nobody, and yet nothing may stay stuck.
+      to.world.check_one_call_per_circuit();
+      if (!visited_.insert(hash(to)).second) return;
+      // Without further requests: nobody completes the pending calls, and yet nothing may stay stuck.
       TwoEnds<G> rest = to.world;
       if (!rest.up) rest.connect();
-      rest.quiet(max_settle_time(rest.settings[0]) + std::chrono::seconds(2));
-      rest.settled();
+      rest.run_for(max_settle_time(rest.settings[0]) + std::chrono::seconds(2));
+      rest.check_settled();
       next.push_back(std::move(to));
     } catch (const std::logic_error& error) {
       fault_ = std::string(error.what()) + " after: " + to.path;
@@ -85,12 +85,13 @@
       if (!w.wire[end].empty())
         step(node, std::string(name_of(w.wire[end].front().kind)) + " to " + at, next,
              [end](Node& n) { n.world.deliver(end); });
-      for (const auto& [call, fate] : w.calls[end]) {
+      for (const auto& [call, call_state] : w.calls[end]) {
         const std::string id = std::to_string(call);
         const bool outgoing = kCalls[call - 1].end == end;
-        if (fate == Fate::offered)
+        if (call_state == CallState::offered)
           step(node, at + " answers " + id, next, [end, call = call](Node& n) { n.world.answer(end, call); });
-        if (fate == Fate::out || fate == Fate::offered || fate == Fate::stands)
+        if (call_state == CallState::out || call_state == CallState::offered ||
+            call_state == CallState::established)
           step(node, at + " releases " + id, next,
                [=, call = call](Node& n) { n.world.release(end, call, outgoing); });
       }
@@ -111,7 +112,7 @@
         n.world.disconnect();
       });
     if (!w.up) step(node, "connect", next, [](Node& n) { n.world.connect(); });
-    // The timers, at any moment: an audit may meet a live seizure.
+    // The timers, at any moment: an audit may coincide with a seizure.
     for (const std::size_t end : {0U, 1U}) {
       if (w.up && w.wire[0].empty() && w.wire[1].empty() && w.ends[end].next_due() != Time::max())
         step(node, end == 0 ? "time passes for high" : "time passes for low", next, [end](Node& n) {
@@ -120,8 +121,9 @@
         });
     }
   }
-  // What decides what comes next. Two independent 32-bit sums would collide; 64 bits at some million states
-  // do not (one in ten million).
+  // Hash of everything that determines the further behaviour. Two independent 32-bit sums would
+  // collide; with 64 bits a collision among some million states has a probability of one in ten
+  // million.
   std::uint64_t hash(const Node& node) const {
     std::string out;
     for (const std::size_t end : {0U, 1U}) {
@@ -138,9 +140,9 @@
         }
       }
       out += '|';
-      for (const auto& [id, fate] : node.world.calls[end]) {
+      for (const auto& [id, call_state] : node.world.calls[end]) {
         out += static_cast<char>(id);
-        out += static_cast<char>(fate);
+        out += static_cast<char>(call_state);
       }
     }
     out += static_cast<char>(node.breaks * 2 + node.restarts);
@@ -150,13 +152,13 @@
     return h ^ h >> 29U;
   }
   const Budget budget_;
-  std::unordered_set<std::uint64_t> seen_;
+  std::unordered_set<std::uint64_t> visited_;
   std::string fault_;
   int reached_ = 0;
 };
 
-// The bound is on states, not on time, so that the verdict is the same everywhere.
-std::size_t most_states() {
+// The search is limited by states and not by time, so that the result is the same on every machine.
+std::size_t max_states() {
   const char* asked = std::getenv("REELTACK_MODEL_STATES");
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
   constexpr std::size_t kUsual = 20'000;
@@ -166,25 +168,25 @@
   return asked == nullptr ? kUsual : static_cast<std::size_t>(std::strtoull(asked, nullptr, 10));
 }
 
-TEST(Model, EveryInterleavingKeepsTheRules) {
-  Search<Group> search({.breaks = 1, .restarts = 1, .depth = 64, .states = most_states()});
+TEST(Model, EveryInterleavingKeepsTheInvariants) {
+  Search<Group> search({.breaks = 1, .restarts = 1, .depth = 64, .states = max_states()});
   EXPECT_EQ(search.run(), "");
   std::printf("model: %zu states, depth %d\n", search.states(), search.depth());
 }
-// Without breaks and restarts the same bound reaches deeper into collisions and releases.
+// Without breaks and restarts the same limit reaches deeper into collisions and releases.
 TEST(Model, CollisionsAndReleasesAlone) {
-  Search<Group> search({.breaks = 0, .restarts = 0, .depth = 64, .states = most_states()});
+  Search<Group> search({.breaks = 0, .restarts = 0, .depth = 64, .states = max_states()});
   EXPECT_EQ(search.run(), "");
   std::printf("model: %zu states, depth %d\n", search.states(), search.depth());
 }
 
-// The search must find what is wrong where something is: here glare goes by the order of arrival.
+// The search must detect a broken rule. Here glare is decided by the order of arrival.
 struct GlareByArrival : Group {
   using Group::Group;
   [[nodiscard]] bool wins(Cic /*cic*/) const override { return false; }
 };
-TEST(Model, FindsGlareThatIsDecidedByArrival) {
-  Search<GlareByArrival> search({.breaks = 0, .restarts = 0, .depth = 64, .states = most_states()});
+TEST(Model, DetectsGlareDecidedByArrival) {
+  Search<GlareByArrival> search({.breaks = 0, .restarts = 0, .depth = 64, .states = max_states()});
   const std::string fault = search.run();
   EXPECT_NE(fault, "");
   std::printf("found after %zu states: %s\n", search.states(), fault.c_str());
@@ -193,19 +195,19 @@
   using Group::Group;
   [[nodiscard]] bool wins(Cic /*cic*/) const override { return true; }
 };
-TEST(Model, FindsGlareThatBothEndsWin) {
-  Search<BothWin> search({.breaks = 0, .restarts = 0, .depth = 64, .states = most_states()});
+TEST(Model, DetectsGlareThatBothEndsWin) {
+  Search<BothWin> search({.breaks = 0, .restarts = 0, .depth = 64, .states = max_states()});
   EXPECT_NE(search.run(), "");
 }
-// ... and here a word that was said before ours was heard counts as a newer one.
-struct NoSequences : Group {
+// Here a message sent before ours was received counts as a newer one.
+struct IgnoresSequences : Group {
   using Group::Group;
   [[nodiscard]] bool is_older(std::uint32_t /*received*/, std::uint32_t /*sent*/) const override {
     return false;
   }
 };
-TEST(Model, FindsThatOlderWordsAreObeyed) {
-  Search<NoSequences> search({.breaks = 1, .restarts = 1, .depth = 64, .states = most_states()});
+TEST(Model, DetectsThatOutdatedMessagesAreObeyed) {
+  Search<IgnoresSequences> search({.breaks = 1, .restarts = 1, .depth = 64, .states = max_states()});
   EXPECT_NE(search.run(), "");
 }
 
--- a/tests/circuits/wire_test.cpp
+++ b/tests/circuits/wire_test.cpp
@@ -1,4 +1,4 @@
-// Breaks, blocking, releases and refused messages, case by case.
+// Breaks, blocking, releases and refused messages.
 #include <gtest/gtest.h>
 
 #include "connected_ends.h"
@@ -9,69 +9,69 @@
 using namespace std::chrono_literals;
 
 TEST(Wire, ABreakBetweenSeizureAndAnswerEndsTheCallAtBothEnds) {
-  Ends w = made(4);
+  Ends w = connected_ends(4);
   w.originate(kHigh, 1);
   w.originate(kHigh, 2);
-  w.quiet(1ms);
+  w.run_for(1ms);
   w.answer(kLow, 1);
-  w.quiet(1ms);
-  w.answer(kLow, 2);  // this one is lost on the wire
+  w.run_for(1ms);
+  w.answer(kLow, 2);  // this answer is lost on the wire
   w.disconnect();
-  EXPECT_EQ(w.calls[kHigh][1], Fate::stands);
-  EXPECT_EQ(w.calls[kHigh][2], Fate::over);
+  EXPECT_EQ(w.calls[kHigh][1], CallState::established);
+  EXPECT_EQ(w.calls[kHigh][2], CallState::ended);
   w.now += 1s;
   w.connect();
-  w.quiet(bound(w));
-  w.settled();
-  EXPECT_EQ(w.calls[kHigh][1], Fate::stands);
-  EXPECT_EQ(w.calls[kLow][1], Fate::stands);
-  EXPECT_EQ(w.calls[kLow][2], Fate::over) << "the audit found it standing at one end alone";
+  w.run_for(settle_time(w));
+  w.check_settled();
+  EXPECT_EQ(w.calls[kHigh][1], CallState::established);
+  EXPECT_EQ(w.calls[kLow][1], CallState::established);
+  EXPECT_EQ(w.calls[kLow][2], CallState::ended) << "the audit found it established at one end only";
 }
 
 TEST(Wire, ABlockCrossesASeizureAndTheSeizureIsServed) {
-  Ends w = made(1);
+  Ends w = connected_ends(1);
   GroupActions actions;
   w.originate(kHigh, 1);
   w.ends[kLow].block(w.now, 0, 1, false, actions);
   w.carry_out(kLow, actions);
-  w.quiet(10ms);
-  EXPECT_EQ(w.calls[kLow][1], Fate::offered);
+  w.run_for(10ms);
+  EXPECT_EQ(w.calls[kLow][1], CallState::offered);
   w.answer(kLow, 1);
-  w.quiet(10ms);
-  EXPECT_EQ(w.calls[kHigh][1], Fate::stands) << "a block lets what has begun go on";
+  w.run_for(10ms);
+  EXPECT_EQ(w.calls[kHigh][1], CallState::established) << "a block lets calls in progress continue";
   w.release(kHigh, 1, true);
-  w.quiet(10ms);
+  w.run_for(10ms);
   GroupActions none;
   EXPECT_EQ(w.ends[kHigh].seize(w.now, 2, none), Refusal::no_circuit);
   GroupActions undo;
   w.ends[kLow].unblock(w.now, 0, 1, undo);
   w.carry_out(kLow, undo);
-  w.quiet(10ms);
+  w.run_for(10ms);
   EXPECT_EQ(w.ends[kHigh].selectable(), 1U);
-  w.settled();
+  w.check_settled();
 }
 
-TEST(Wire, BlockAtOnceReleasesWhatStands) {
-  Ends w = made(2);
+TEST(Wire, AnImmediateBlockReleasesEstablishedCalls) {
+  Ends w = connected_ends(2);
   w.originate(kHigh, 1);
-  w.quiet(1ms);
+  w.run_for(1ms);
   w.answer(kLow, 1);
-  w.quiet(1ms);
-  w.cut_is_fair = true;
+  w.run_for(1ms);
+  w.drops_allowed = true;
   GroupActions actions;
   w.ends[kLow].block(w.now, 0, 2, true, actions);
   w.carry_out(kLow, actions);
-  w.quiet(10ms);
-  EXPECT_EQ(w.calls[kHigh][1], Fate::over);
-  EXPECT_EQ(w.calls[kLow][1], Fate::over);
-  w.settled();
+  w.run_for(10ms);
+  EXPECT_EQ(w.calls[kHigh][1], CallState::ended);
+  EXPECT_EQ(w.calls[kLow][1], CallState::ended);
+  w.check_settled();
 }
 
-// Hard case 6.
-TEST(Wire, WhatNoHonestEndSendsIsRefusedAndChangesNothing) {
-  Ends w = made(4);
+// Messages that no conforming end sends.
+TEST(Wire, AnInvalidMessageIsRefusedAndChangesNothing) {
+  Ends w = connected_ends(4);
   w.originate(kHigh, 1);
-  w.quiet(1ms);
+  w.run_for(1ms);
   std::string before;
   w.ends[kLow].fingerprint(before);
   const auto refused = [&](Message m) {
@@ -82,40 +82,44 @@
     w.ends[kLow].fingerprint(after);
     EXPECT_EQ(before, after);
   };
-  refused({.kind = Kind::iam, .cic = 4, .call = 9, .sequence = 1});                 // beyond the group
-  refused({.kind = Kind::cqm, .cic = 3, .count = 2});                               // a range beyond it
-  refused({.kind = Kind::cqm, .cic = 1, .count = 0xffffffffU});                     // ... that wraps round
-  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 7});                 // out of order
-  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 1, .received = 5});  // heard what was not said
+  refused({.kind = Kind::iam, .cic = 4, .call = 9, .sequence = 1});  // beyond the group
+  refused({.kind = Kind::cqm, .cic = 3, .count = 2});                // a range beyond the group
+  refused({.kind = Kind::cqm, .cic = 1, .count = 0xffffffffU});      // a range that wraps around
+  refused({.kind = Kind::iam, .cic = 0, .call = 9, .sequence = 7});  // out of order
+  refused({.kind = Kind::iam,
+           .cic = 0,
+           .call = 9,
+           .sequence = 1,
+           .received = 5});  // acknowledges messages not sent
   refused({.kind = Kind::cqr, .cic = 0, .count = 2, .statuses = std::vector<CircuitStatus>(1)});
   refused({.kind = Kind::blo, .cic = 0, .count = 0});
-  // An id that is in use already is turned away on its circuit; the first one goes on.
+  // A call id that is in use is rejected on its circuit; the first call continues.
   GroupActions actions;
   EXPECT_TRUE(w.ends[kLow].receive(w.now, {.kind = Kind::iam, .cic = 0, .call = 1, .sequence = 1}, actions));
   EXPECT_EQ(std::get<Send>(actions.at(0)).message.kind, Kind::rel);
   EXPECT_TRUE(w.ends[kLow].holds(1, false));
 }
 
-TEST(Wire, SilenceEndsWhatStoodAtBothEnds) {
-  Ends w = made(2);
+TEST(Wire, ALongBreakEndsEstablishedCallsAtBothEnds) {
+  Ends w = connected_ends(2);
   w.originate(kHigh, 1);
-  w.quiet(1ms);
+  w.run_for(1ms);
   w.answer(kLow, 1);
-  w.quiet(1ms);
+  w.run_for(1ms);
   w.disconnect();
-  w.cut_is_fair = true;
-  w.quiet(6s);
-  EXPECT_EQ(w.calls[kHigh][1], Fate::over);
-  EXPECT_EQ(w.calls[kLow][1], Fate::over);
+  w.drops_allowed = true;
+  w.run_for(6s);
+  EXPECT_EQ(w.calls[kHigh][1], CallState::ended);
+  EXPECT_EQ(w.calls[kLow][1], CallState::ended);
 }
 
-TEST(Wire, AReleaseWithoutItsCompletionIsSaidAgainAndThenReset) {
-  Ends w = made(1);
+TEST(Wire, AnUncompletedReleaseIsRepeatedAndThenReset) {
+  Ends w = connected_ends(1);
   w.originate(kHigh, 1);
-  w.quiet(1ms);
+  w.run_for(1ms);
   w.release(kHigh, 1, true);
   for (int i = 0; i < 3; ++i) {
-    w.wire[kLow].clear();  // the far end is deaf, and not gone
+    w.wire[kLow].clear();  // the far end does not receive, but is still connected
     w.now += 2s;
     w.fire(kHigh);
   }
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -1,5 +1,5 @@
-// The store dies, fails or loses its power at every point of a row of batches: what is read then is what was
-// acknowledged last, or the next, never a mixture.
+// The process is killed, an operation fails, or the power is lost at every fault point of a sequence of
+// batches. Afterwards the store must hold the last acknowledged state or the next one, never a mixture.
 #include <sys/mman.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -14,41 +14,43 @@
 
 constexpr int kBatches = 12;
 
-// Open, half of the batches, an orderly close, open, the rest. `acked` is the last batch that write() said
-// yes to.
-void play(const StoreSettings& s, volatile int& acked, const std::function<void(int)>& on_ack = {}) {
+// Opens the store, writes half of the batches, closes it, reopens it and writes the rest.
+// `acknowledged` is the last batch for which write() succeeded.
+void write_batches(const StoreSettings& s, volatile int& acknowledged,
+                   const std::function<void(int)>& on_acknowledged = {}) {
   for (int i = 1; i <= kBatches;) {
     OpenResult o = Store::open(s);
     if (!o.store) return;
     do {
       if (!o.store->write(batch(i), WallTime{Duration{i}}).ok()) return;
-      acked = i;
-      if (on_ack) on_ack(i);
+      acknowledged = i;
+      if (on_acknowledged) on_acknowledged(i);
     } while (++i <= kBatches && i != kBatches / 2);
   }
 }
 
-// What is in the folder is the state after `acked` batches, or one more.
-void expect_old_or_new(const std::string& dir, int acked, const std::string& at) {
+// The folder holds the state after `acknowledged` batches, or after one more.
+void expect_old_or_new(const std::string& dir, int acknowledged, const std::string& at) {
   const OpenResult o = Store::open(settings(dir));
-  ASSERT_TRUE(o.how == How::opened || (o.how == How::fresh && acked == 0)) << at << ": " << o.reason;
+  ASSERT_TRUE(o.how == How::opened || (o.how == How::fresh && acknowledged == 0)) << at << ": " << o.reason;
   const State found = state_of(o);
-  EXPECT_TRUE(found == after(acked) || found == after(acked + 1)) << at << ": mixed or lost, after " << acked;
+  EXPECT_TRUE(found == state_after(acknowledged) || found == state_after(acknowledged + 1))
+      << at << ": mixed or lost after batch " << acknowledged;
 }
 
-TEST(StoreCrash, KilledAtEveryPointItReadsTheOldOrTheNewState) {
+TEST(StoreCrash, AKillAtEveryPointLeavesTheOldOrTheNewState) {
   const TempDir temp;
   const std::string dir = temp / "s";
-  auto* acked = static_cast<volatile int*>(
+  auto* acknowledged = static_cast<volatile int*>(
       ::mmap(nullptr, sizeof(int), PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0));
-  ASSERT_NE(acked, MAP_FAILED);
+  ASSERT_NE(acknowledged, MAP_FAILED);
   FaultyVfs vfs;
-  Points points(vfs);
+  FaultPoints points(vfs);
   StoreSettings s = settings(dir);
   s.vfs = FaultyVfs::name;
   s.faults = &points;
-  play(s, *acked);
-  ASSERT_EQ(*acked, kBatches);
+  write_batches(s, *acknowledged);
+  ASSERT_EQ(*acknowledged, kBatches);
   const int total = points.count;
   for (const char* step :
        {"write before", "half before", "write after", "sync before", "sync after", "open before",
@@ -58,7 +60,7 @@
   int visited = 0;
   for (int at = 1; at <= total; ++at) {
     fs::remove_all(dir);
-    *acked = 0;
+    *acknowledged = 0;
     const ::pid_t child = ::fork();
     if (child == 0) {
       points.count = 0;
@@ -66,33 +68,33 @@
         if (points.count == at) ::raise(SIGKILL);
         return SQLITE_OK;
       };
-      play(s, *acked);
+      write_batches(s, *acknowledged);
       ::_exit(0);
     }
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
     visited += WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL ? 1 : 0;
-    expect_old_or_new(dir, *acked, "point " + std::to_string(at));
+    expect_old_or_new(dir, *acknowledged, "point " + std::to_string(at));
   }
   EXPECT_EQ(visited, total);
   std::printf("killed at each of %d points\n", total);
-  ::munmap(const_cast<int*>(acked), sizeof(int));
+  ::munmap(const_cast<int*>(acknowledged), sizeof(int));
 }
 
-TEST(StoreCrash, KilledAtEveryPointOfSettingAsideNothingIsLost) {
+TEST(StoreCrash, AKillAtEveryPointOfSettingAsideLosesNothing) {
   const TempDir temp;
   const std::string file(9000, 'f'), log(9000, 'l');
   FaultyVfs vfs;
-  Points points(vfs);
+  FaultPoints points(vfs);
   StoreSettings s = settings(temp / "s");
   s.vfs = FaultyVfs::name;
   s.faults = &points;
   int total = 0, visited = 0;
-  for (int at = 0; at <= total; ++at) {  // 0: undisturbed, to count
+  for (int at = 0; at <= total; ++at) {  // 0: without a kill, to count the points
     fs::remove_all(s.dir);
     fs::create_directory(s.dir);
-    spit(s.dir + "/store.db", file);
-    spit(s.dir + "/store.db-wal", log);
+    write_file(s.dir + "/store.db", file);
+    write_file(s.dir + "/store.db-wal", log);
     const auto open = [&] {
       points.count = 0;
       points.act = [&](const std::string&, bool) {
@@ -108,7 +110,7 @@
     }
     const ::pid_t child = ::fork();
     if (child == 0) {
-      const bool opened = open().store != nullptr;  // and closed, which has points too
+      const bool opened = open().store != nullptr;  // and closed again, which also has fault points
       ::_exit(opened ? 0 : 1);
     }
     int status = 0;
@@ -117,7 +119,7 @@
     ASSERT_TRUE(Store::open(settings(s.dir)).store) << at;
     int found = 0;
     for (const auto& entry : fs::directory_iterator(s.dir)) {
-      const std::string bytes = slurp(entry.path());
+      const std::string bytes = read_file(entry.path());
       found += bytes == file || bytes == log ? 1 : 0;
     }
     EXPECT_EQ(found, 2) << "point " << at;
@@ -125,10 +127,10 @@
   EXPECT_EQ(visited, total);
 }
 
-TEST(StoreCrash, APowerLossAtEveryPointKeepsWhatWasAcknowledged) {
+TEST(StoreCrash, APowerLossAtEveryPointPreservesAcknowledgedBatches) {
   const TempDir temp;
   FaultyVfs vfs;
-  Points points(vfs);
+  FaultPoints points(vfs);
   points.act = [&](const std::string& step, bool before) {
     if (step == "sync folder" && !before) vfs.trace.push_back({FileChange::Kind::sync, "", 0, "", false});
     return SQLITE_OK;
@@ -136,9 +138,11 @@
   StoreSettings s = settings(temp / "s");
   s.vfs = FaultyVfs::name;
   s.faults = &points;
-  volatile int acked = 0;
-  play(s, acked, [&](int i) { vfs.trace.push_back({FileChange::Kind::mark, "", i, "", false}); });
-  ASSERT_EQ(acked, kBatches);
+  volatile int acknowledged = 0;
+  write_batches(s, acknowledged, [&](int i) {
+    vfs.trace.push_back({FileChange::Kind::mark, "", i, "", false});
+  });
+  ASSERT_EQ(acknowledged, kBatches);
   std::mt19937 draw(20261202);
   int last = 0;
   for (std::size_t end = 0; end <= vfs.trace.size(); ++end) {
@@ -152,43 +156,43 @@
   std::printf("power lost after each of %zu changes, four disks each\n", vfs.trace.size());
 }
 
-// One failure, or all from there on, at each point; then the machine is well again.
-void fail_everywhere(int result, bool lasting) {
+// At each fault point one failure, or persistent failures from there on; then the disk works again.
+void fail_everywhere(int result, bool persistent) {
   const TempDir temp;
   FaultyVfs vfs;
-  Points points(vfs);
+  FaultPoints points(vfs);
   points.reads = true;
   StoreSettings s = settings(temp / "s");
   s.vfs = FaultyVfs::name;
   s.faults = &points;
-  volatile int acked = 0;
-  play(s, acked);
+  volatile int acknowledged = 0;
+  write_batches(s, acknowledged);
   const int total = points.count;
-  int told = 0;
+  int failed_runs = 0;
   for (int at = 1; at <= total; ++at) {
     fs::remove_all(s.dir);
     points.count = 0;
     points.act = [&](const std::string&, bool) {
-      return points.count == at || (lasting && points.count > at) ? result : SQLITE_OK;
+      return points.count == at || (persistent && points.count > at) ? result : SQLITE_OK;
     };
-    acked = 0;
-    play(s, acked);
-    told += acked < kBatches ? 1 : 0;
+    acknowledged = 0;
+    write_batches(s, acknowledged);
+    failed_runs += acknowledged < kBatches ? 1 : 0;
     points.act = {};
     const std::string where = "point " + std::to_string(at);
-    expect_old_or_new(s.dir, acked, where);
+    expect_old_or_new(s.dir, acknowledged, where);
     OpenResult again = Store::open(s);
     ASSERT_TRUE(again.store) << where << ": " << again.reason;
     EXPECT_TRUE(again.store->write(batch(1), WallTime{}).ok()) << where;
   }
-  EXPECT_GT(told, total / 4);
-  std::printf("failed at each of %d points, told in %d\n", total, told);
+  EXPECT_GT(failed_runs, total / 4);
+  std::printf("failed at each of %d points, write refused in %d\n", total, failed_runs);
 }
 
-TEST(StoreCrash, OneInputOrOutputErrorAtEveryPoint) { fail_everywhere(SQLITE_IOERR, false); }
+TEST(StoreCrash, OneIoErrorAtEveryPoint) { fail_everywhere(SQLITE_IOERR, false); }
 TEST(StoreCrash, AFullDiskFromEveryPointOn) { fail_everywhere(SQLITE_FULL, true); }
 
-TEST(StoreCrash, AfterAFailedWriteTheSameStoreWritesOn) {
+TEST(StoreCrash, TheStoreContinuesAfterAFailedWrite) {
   const TempDir temp;
   FaultyVfs vfs;
   StoreSettings s = settings(temp / "s");
@@ -206,10 +210,10 @@
     EXPECT_TRUE(o.store->write(batch(i), WallTime{}).ok());
   }
   o.store.reset();
-  EXPECT_EQ(state_of(Store::open(s)), after(kBatches));
+  EXPECT_EQ(state_of(Store::open(s)), state_after(kBatches));
 }
 
-TEST(StoreCrash, ALimitOfTheFilesSizeIsAFullDisk) {
+TEST(StoreCrash, AFileSizeLimitIsReportedAsAFullDisk) {
   const TempDir temp;
   const ::pid_t child = ::fork();
   if (child == 0) {
--- a/tests/store/damage_test.cpp
+++ b/tests/store/damage_test.cpp
@@ -1,5 +1,4 @@
-// Content that is wrong, files that are another's, folders that cannot be written: never taken for right,
-// never deleted, always said.
+// Damaged content and files of other programs: never accepted as valid, never deleted, always reported.
 #include <cstring>
 
 #include "faulty_vfs.h"
@@ -8,13 +7,13 @@
 namespace reeltack::store {
 namespace {
 
-void write_batches(const std::string& dir, int from, int to) {
+void write_batch_range(const std::string& dir, int from, int to) {
   OpenResult o = Store::open(settings(dir));
   ASSERT_TRUE(o.store) << o.reason;
   for (int i = from; i <= to; ++i) ASSERT_TRUE(o.store->write(batch(i), WallTime{Duration{i}}).ok());
 }
 
-// Half a page zeroed (either half), the page's old content, noise.
+// Kinds of damage: first half of a page zeroed, second half zeroed, previous content of the page, noise.
 std::string damaged(std::string bytes, const std::string& old, std::size_t at, int kind) {
   const std::size_t size = std::min<std::size_t>(4096, bytes.size() - at), half = size / 2;
   if (kind == 0) std::memset(&bytes[at], 0, half);
@@ -24,12 +23,12 @@
   return bytes;
 }
 
-TEST(StoreDamage, EveryPageOfTheFileDamagedIsReadRightOrSetAside) {
+TEST(StoreDamage, EveryDamagedPageOfTheDatabaseIsReadCorrectlyOrSetAside) {
   const TempDir temp;
-  write_batches(temp / "s", 1, 9);
-  // Records of one size over many pages, of which some are overwritten: an old page of them fits in all but
-  // sum.
-  State before = after(9), then = after(12);
+  write_batch_range(temp / "s", 1, 9);
+  // Records of equal size over many pages, some of them overwritten: with an old page among them
+  // everything matches except the sum of the checksums.
+  State before = state_after(9), then = state_after(12);
   const auto write_many = [&](int seed, int every, State& state) {
     OpenResult o = Store::open(settings(temp / "s"));
     std::vector<Change> changes;
@@ -41,34 +40,36 @@
   };
   write_many(100, 1, before);
   then.insert(before.begin(), before.end());
-  const std::string old = slurp(temp / "s/store.db");
-  write_batches(temp / "s", 10, 12);
+  const std::string old = read_file(temp / "s/store.db");
+  write_batch_range(temp / "s", 10, 12);
   write_many(200, 9, then);
-  const std::string now = slurp(temp / "s/store.db");
+  const std::string now = read_file(temp / "s/store.db");
   Tally tally;
   for (int kind = 0; kind < 4; ++kind) {
     for (std::size_t at = 0; at < now.size(); at += 4096) {
       fs::remove_all(temp / "d");
       fs::create_directory(temp / "d");
       const std::string bytes = damaged(now, old, at, kind);
-      spit(temp / "d/store.db", bytes);
-      judge(temp / "d", {before, then}, "store.db", bytes,
-            "kind " + std::to_string(kind) + " at " + std::to_string(at), tally);
+      write_file(temp / "d/store.db", bytes);
+      check_recovered(temp / "d", {before, then}, "store.db", bytes,
+                      "kind " + std::to_string(kind) + " at " + std::to_string(at), tally);
     }
   }
   for (std::size_t cut = 1; cut < now.size(); cut += 2048) {
     fs::remove_all(temp / "d");
     fs::create_directory(temp / "d");
-    spit(temp / "d/store.db", now.substr(0, cut));
-    judge(temp / "d", {then}, "store.db", now.substr(0, cut), "cut at " + std::to_string(cut), tally);
+    write_file(temp / "d/store.db", now.substr(0, cut));
+    check_recovered(temp / "d", {then}, "store.db", now.substr(0, cut), "cut at " + std::to_string(cut),
+                    tally);
   }
   EXPECT_GT(tally.aside, 50);
-  EXPECT_GT(tally.by_seal, 0) << "no old page was found by the seal: the test does not reach it";
+  EXPECT_GT(tally.by_seal, 0)
+      << "no outdated page was detected by the seal alone: the test does not reach that case";
   std::printf("read right %d, set aside %d (%d by the seal alone)\n", tally.right, tally.aside,
               tally.by_seal);
 }
 
-TEST(StoreDamage, EveryPieceOfTheLogDamagedIsReadAsAnEarlierStateOrSetAside) {
+TEST(StoreDamage, EveryDamagedPageOfTheLogIsReadAsAnEarlierStateOrSetAside) {
   const TempDir temp;
   StoreSettings s = settings(temp / "s");
   s.checkpoint_pages = 1000;
@@ -79,48 +80,48 @@
     for (int i = 1; i <= 6; ++i) ASSERT_TRUE(o.store->write(batch(i), WallTime{}).ok());
     copy_folder(temp / "s", temp / "whole");
   }
-  for (int i = 0; i <= 6; ++i) allowed.push_back(after(i));
-  const std::string log = slurp(temp / "whole/store.db-wal");
+  for (int i = 0; i <= 6; ++i) allowed.push_back(state_after(i));
+  const std::string log = read_file(temp / "whole/store.db-wal");
   ASSERT_GT(log.size(), 40000u);
   Tally tally;
   for (const int kind : {0, 1, 3}) {
     for (std::size_t at = 0; at < log.size(); at += 4096) {
       copy_folder(temp / "whole", temp / "d");
       const std::string bytes = damaged(log, {}, at, kind);
-      spit(temp / "d/store.db-wal", bytes);
-      judge(temp / "d", allowed, "store.db-wal", bytes,
-            "kind " + std::to_string(kind) + " at " + std::to_string(at), tally);
+      write_file(temp / "d/store.db-wal", bytes);
+      check_recovered(temp / "d", allowed, "store.db-wal", bytes,
+                      "kind " + std::to_string(kind) + " at " + std::to_string(at), tally);
     }
   }
   EXPECT_GT(tally.right, 10);
-  // The file is gone and its log is not; and one store's log beside another's file.
+  // The database is missing and its log is not; then the log of one store beside the database of another.
   copy_folder(temp / "whole", temp / "d");
   fs::remove(temp / "d/store.db");
   const OpenResult lost = Store::open(settings(temp / "d"));
   EXPECT_EQ(lost.how, How::set_aside);
-  EXPECT_EQ(slurp(lost.aside_path + "-wal"), log);
-  write_batches(temp / "other", 1, 12);
+  EXPECT_EQ(read_file(lost.aside_path + "-wal"), log);
+  write_batch_range(temp / "other", 1, 12);
   fs::copy(temp / "whole/store.db-wal", temp / "other/store.db-wal");
-  allowed.push_back(after(12));
-  judge(temp / "other", allowed, "store.db-wal", log, "another's log", tally);
+  allowed.push_back(state_after(12));
+  check_recovered(temp / "other", allowed, "store.db-wal", log, "another's log", tally);
 }
 
-TEST(StoreDamage, WhatIsNoStoreIsSetAsideUnderTheNextNumber) {
+TEST(StoreDamage, AForeignFileIsSetAsideUnderTheNextNumber) {
   const TempDir temp;
   fs::create_directory(temp / "s");
   for (int n = 1; n <= 3; ++n) {
     const std::string text = "not a database, " + std::to_string(n) + std::string(5000, 'x');
-    spit(temp / "s/store.db", text);
+    write_file(temp / "s/store.db", text);
     const OpenResult o = Store::open(settings(temp / "s"));
     EXPECT_EQ(o.how, How::set_aside) << o.reason;
     EXPECT_EQ(o.aside_path, temp / "s/store.db.aside-" + std::to_string(n));
-    EXPECT_EQ(slurp(o.aside_path), text);
+    EXPECT_EQ(read_file(o.aside_path), text);
   }
   const std::string file = temp / "s/store.db";
   for (const char* sql : {"PRAGMA user_version=7", "PRAGMA application_id=7", "CREATE TABLE more(x)",
                           "DELETE FROM record WHERE key=x''"}) {
     fs::remove_all(temp / "s");
-    write_batches(temp / "s", 1, 3);
+    write_batch_range(temp / "s", 1, 3);
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open(file.c_str(), &db), SQLITE_OK);
     ASSERT_EQ(sqlite3_exec(db, sql, nullptr, nullptr, nullptr), SQLITE_OK) << sql;
--- a/tests/store/dies_at_write.cpp
+++ b/tests/store/dies_at_write.cpp
@@ -1,10 +1,10 @@
-// Has the whole program die at a point of its store, or its disk fail while a file is there: linked to the
-// program's own sources in a test binary.
+// Kills the whole program at a fault point of its store, or makes its disk fail while a given file
+// exists. Linked with the program's own sources into a test binary, never into reeltack.
 //
-// Owns: the count of points at which the store's files are about to change: before each opening, write, the
-//   second half of a write, cutting, removal and sync. Between two of them nothing changes on the disk.
-// Must never: be linked into reeltack, or do anything without REELTACK_DIES_AT (the point, from 1 on) or
-//   REELTACK_FAILS_WHILE (the file's name).
+// REELTACK_DIES_AT is the number of the point, from 1. The points are before each open, write, second
+// half of a write, truncation, removal and sync of the store's files; between two of them nothing
+// changes on the disk. REELTACK_FAILS_WHILE is the path of the file whose existence makes the disk
+// fail. Without either variable nothing happens.
 #include <unistd.h>
 
 #include <csignal>
@@ -16,8 +16,8 @@
 namespace reeltack::store {
 namespace {
 
-struct Dies {
-  Dies() {
+struct KillAtPoint {
+  KillAtPoint() {
     const char* text = std::getenv("REELTACK_DIES_AT");
     if (text == nullptr) return;
     vfs.hook = [this, at = std::atoi(text)](const FileStep& step) {
@@ -29,12 +29,12 @@
     };
   }
   FaultyVfs vfs{true};
-  int points = 0;  // on one thread at a time: the program's at the start, then the keeper's
+  int points = 0;  // used by one thread at a time: the main thread at the start, then the writing thread
 };
-Dies dies;
+KillAtPoint kill_at_point;
 
-struct Fails {
-  Fails() {
+struct FailWhileFileExists {
+  FailWhileFileExists() {
     const char* file = std::getenv("REELTACK_FAILS_WHILE");
     if (file == nullptr) return;
     vfs.hook = [this, file = std::string(file)](const FileStep& step) {
@@ -46,7 +46,7 @@
   }
   FaultyVfs vfs{std::getenv("REELTACK_FAILS_WHILE") != nullptr};
 };
-Fails fails;
+FailWhileFileExists fail_while_file_exists;
 
 }  // namespace
 }  // namespace reeltack::store
--- a/tests/store/disk.h
+++ b/tests/store/disk.h
@@ -1,4 +1,4 @@
-// The disk after a power loss, worked out from what was done to its files.
+// Reconstructs the state of the disk after a power loss from the recorded changes to the files.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace reeltack::store {
 
-// The disk as a power loss may leave it: what was synced, and of the rest all, nothing, or a part (writes
-// whole, torn or left out, in any choice).
+// Writes the files as a power loss may leave them: everything that was synced, and of the rest all
+// (kind 1), nothing (kind 0), or a random part (kinds 2 and 3: each write complete, torn or missing).
 inline void build_disk(const std::string& dir, const std::vector<FileChange>& trace, std::size_t end,
                        int kind, std::mt19937& draw) {
   std::map<std::string, std::string> files;
@@ -29,7 +29,7 @@
     for (std::size_t i = 0; i < count; ++i) carry_out(*waiting[i], waiting[i]->bytes.size());
     waiting.erase(waiting.begin(), waiting.begin() + static_cast<std::ptrdiff_t>(count));
   };
-  // Of what no sync has confirmed all, nothing or a part reaches the disk.
+  // Of the unsynced changes all, none or some reach the disk.
   const auto carry_out_some = [&](const std::vector<const FileChange*>& changes) {
     for (const FileChange* u : changes) {
       const bool whole = kind == 1 || (kind >= 2 && draw() % 2 == 0);
@@ -39,12 +39,13 @@
   };
   for (std::size_t i = 0; i < end; ++i) {
     const FileChange& c = trace[i];
-    if (c.kind == FileChange::Kind::failed_sync) {  // and no later sync writes the rest of it
+    if (c.kind == FileChange::Kind::failed_sync) {  // no later sync writes the rest
       carry_out_some(unsynced[c.file]);
       unsynced[c.file].clear();
       continue;
     }
-    if (c.kind == FileChange::Kind::sync && c.file.empty()) {  // the folder: removals up to here
+    if (c.kind == FileChange::Kind::sync &&
+        c.file.empty()) {  // of the folder: makes the removals so far durable
       for (auto& [file, waiting] : unsynced) {
         std::size_t count = 0;
         for (std::size_t n = 0; n < waiting.size(); ++n)
@@ -61,7 +62,7 @@
   for (const auto& [file, changes] : unsynced) carry_out_some(changes);
   fs::remove_all(dir);
   fs::create_directory(dir);
-  for (const auto& [file, bytes] : files) spit(dir + "/" + fs::path(file).filename().string(), bytes);
+  for (const auto& [file, bytes] : files) write_file(dir + "/" + fs::path(file).filename().string(), bytes);
 }
 
 }  // namespace reeltack::store
--- a/tests/store/faulty_vfs.cpp
+++ b/tests/store/faulty_vfs.cpp
@@ -1,4 +1,4 @@
-// The shim: each method tells its points and passes on; see the header.
+// Each method calls the hook, records the change and passes the operation to the system VFS.
 #include "faulty_vfs.h"
 
 #include <new>
@@ -75,8 +75,8 @@
 }
 int sector(sqlite3_file* f) { return of(f).real()->pMethods->xSectorSize(of(f).real()); }
 int device(sqlite3_file* f) { return of(f).real()->pMethods->xDeviceCharacteristics(of(f).real()); }
-// Version 1: the store keeps the log's index in memory, so nothing shared is asked for; were it, that would
-// fail.
+// Version 1, without shared memory: the store keeps the log's index on the heap. Any use of shared
+// memory would fail.
 const sqlite3_io_methods kMethods{1,       close,   read,    write,   truncate, sync,   file_size,
                                   lock,    unlock,  check,   control, sector,   device, nullptr,
                                   nullptr, nullptr, nullptr, nullptr, nullptr};
--- a/tests/store/faulty_vfs.h
+++ b/tests/store/faulty_vfs.h
@@ -1,7 +1,6 @@
-// SQLite's way to its files, with a point before, within and after each step where a test may step in.
-//
-// Owns: the registration under `name`; what a store does reaches the system's own VFS behind it.
-// Must never: be linked into reeltack. One at a time; the hook is called on the store's thread.
+// An SQLite VFS with a hook before, within and after each file operation, for fault injection.
+// Registered under `name`; the operations are passed to the system VFS. For tests only. Not
+// thread-safe; the hook is called on the thread of the store.
 #pragma once
 
 #include <sqlite3.h>
@@ -18,25 +17,25 @@
   bool before = true;
 };
 
-// What was done to a file (a sync without one: to the folder), for building the disk as a power loss leaves
-// it.
+// A recorded change to a file (a sync without a file name: to the folder), from which the disk after a
+// power loss is reconstructed.
 struct FileChange {
-  // failed_sync: the kernel may have dropped what was not synced, and takes it for clean from then on.
+  // failed_sync: the kernel may have dropped the unsynced data and regards it as clean from then on.
   enum class Kind { write, sync, failed_sync, truncate, remove, mark } kind = Kind::mark;
   std::string file;
-  sqlite3_int64 at = 0;  // offset, new size, or the mark's number
+  sqlite3_int64 at = 0;  // offset, new size, or number of the mark
   std::string bytes;
-  bool synced = false;  // for remove: its folder was synced too
+  bool synced = false;  // for remove: the folder was synced, too
 };
 
 class FaultyVfs {
  public:
-  // `for_all`: of every store of the process that names no other.
+  // `for_all`: becomes the default VFS of the process.
   explicit FaultyVfs(bool for_all = false);
   ~FaultyVfs();
   FaultyVfs(const FaultyVfs&) = delete;
   FaultyVfs& operator=(const FaultyVfs&) = delete;
-  // An SQLite result other than SQLITE_OK before a step is what the step comes to, untried.
+  // A result other than SQLITE_OK before a step becomes its result, and the step is not attempted.
   std::function<int(const FileStep&)> hook;
   std::vector<FileChange> trace;
   static constexpr const char* name = "faulty";
--- a/tests/store/folder_test.cpp
+++ b/tests/store/folder_test.cpp
@@ -1,4 +1,4 @@
-// Whose a store is, its bounds, and folders that are locked or cannot be written.
+// Owner of a store, its limits, and folders that are locked or cannot be written.
 #include <sys/wait.h>
 
 #include <csignal>
@@ -10,7 +10,7 @@
 
 const clocks::BootTime kWritten{{1, 2, 3, 255}, Duration{123'456'789'012}};
 
-TEST(StoreFolder, ASecondProcessIsRefusedByNameUntilTheFirstIsDead) {
+TEST(StoreFolder, ASecondProcessIsRefusedWithThePidOfTheFirst) {
   const TempDir temp;
   int ready[2];
   ASSERT_EQ(::pipe(ready), 0);
@@ -35,7 +35,7 @@
   ::close(ready[1]);
 }
 
-TEST(StoreFolder, WhoseARecordIsIsToldNotJudged) {
+TEST(StoreFolder, RecordsOfAnotherOwnerAreReturnedAndCounted) {
   const TempDir temp;
   StoreSettings s = settings(temp / "s");
   s.format = 3;
@@ -65,7 +65,7 @@
   EXPECT_EQ(Store::open(s).foreign, 1u);
 }
 
-TEST(StoreFolder, BoundsAreToldAndChangeNothing) {
+TEST(StoreFolder, AChangeOverALimitIsRefusedAndChangesNothing) {
   const TempDir temp;
   StoreSettings s = settings(temp / "s");
   s.max_records = 2;
@@ -84,12 +84,12 @@
   EXPECT_EQ(Store::open(s).records.size(), 2u);
 }
 
-TEST(StoreFolder, AnEmptyFileIsAFreshStoreAndAnUnwritableFolderAFailure) {
+TEST(StoreFolder, AnEmptyFileIsAFreshStoreAndAnUnwritableFolderFails) {
   const TempDir temp;
   fs::create_directory(temp / "s");
-  spit(temp / "s/store.db", "");
+  write_file(temp / "s/store.db", "");
   EXPECT_EQ(Store::open(settings(temp / "s")).how, How::fresh);
-  spit(temp / "file", "x");
+  write_file(temp / "file", "x");
   const OpenResult under = Store::open(settings(temp / "file"));
   EXPECT_EQ(under.how, How::failed);
   EXPECT_NE(under.reason.find(temp / "file"), std::string::npos) << under.reason;
--- a/tests/store/heard.h
+++ b/tests/store/heard.h
@@ -1,4 +1,5 @@
-// What a keeper has reported, to be waited for, and a case of one keeper over a disk that a test controls.
+// A log of the events of an asynchronous store that tests can wait for, and a fixture with a store on a
+// disk that the test controls.
 #pragma once
 
 #include <condition_variable>
@@ -11,21 +12,21 @@
 
 namespace reeltack::store {
 
-inline constexpr std::chrono::seconds kLong{30};
+inline constexpr std::chrono::seconds kTestTimeout{30};
 
-// The keeper's events, to be waited for.
-class Heard {
+// Collects events and lets a test wait for them.
+class EventLog {
  public:
   void operator()(const AsyncStoreEvent& e) {
     const std::lock_guard lock(mutex_);
     events_.push_back(e);
     more_.notify_all();
   }
-  // The first event of that kind; whether there was one is told by `found`.
+  // Waits for the first event of that kind; `found` is false on timeout.
   AsyncStoreEvent wait(AsyncStoreEvent::Kind kind, bool& found) {
     std::unique_lock lock(mutex_);
     AsyncStoreEvent out;
-    found = more_.wait_for(lock, kLong, [&] {
+    found = more_.wait_for(lock, kTestTimeout, [&] {
       for (const AsyncStoreEvent& e : events_) {
         if (e.kind == kind) return out = e, true;
       }
@@ -39,7 +40,7 @@
     for (const AsyncStoreEvent& e : events_) n += e.kind == kind ? 1 : 0;
     return n;
   }
-  std::string text() {  // one line an event, for a failure's message
+  std::string text() {  // one line per event, for failure messages
     const std::lock_guard lock(mutex_);
     std::string out;
     for (const AsyncStoreEvent& e : events_) out += to_text(e) + "\n";
@@ -52,22 +53,22 @@
   std::vector<AsyncStoreEvent> events_;
 };
 
-struct Case {
+struct FaultyDiskFixture {
   TempDir temp;
   FaultyVfs vfs;
-  Heard heard;
-  StoreSettings store = settings(temp / "s");
-  AsyncStoreSettings keeper;
-  Case() {
-    store.vfs = FaultyVfs::name;
-    keeper.first_retry = std::chrono::milliseconds(1);
-    keeper.last_retry = std::chrono::milliseconds(8);
-    keeper.shutdown_timeout = kLong;
-    keeper.on_event = [this](const AsyncStoreEvent& e) { heard(e); };
+  EventLog events;
+  StoreSettings store_settings = settings(temp / "s");
+  AsyncStoreSettings async_settings;
+  FaultyDiskFixture() {
+    store_settings.vfs = FaultyVfs::name;
+    async_settings.first_retry = std::chrono::milliseconds(1);
+    async_settings.last_retry = std::chrono::milliseconds(8);
+    async_settings.shutdown_timeout = kTestTimeout;
+    async_settings.on_event = [this](const AsyncStoreEvent& e) { events(e); };
   }
   AsyncStoreEvent expect(AsyncStoreEvent::Kind kind) {
     bool found = false;
-    AsyncStoreEvent e = heard.wait(kind, found);
+    AsyncStoreEvent e = events.wait(kind, found);
     EXPECT_TRUE(found);
     return e;
   }
--- a/tests/store/keeper_each_call_test.cpp
+++ b/tests/store/keeper_each_call_test.cpp
@@ -1,4 +1,4 @@
-// The keeper on a disk of which each call in turn fails, for a while and until it is repaired.
+// AsyncStore on a disk on which each call in turn fails, temporarily or until it is repaired.
 #include <atomic>
 
 #include "heard.h"
@@ -13,10 +13,10 @@
 
 struct Failure {
   int error = 0;  // errno
-  int calls = 0;  // in a row; 0: until the test repairs the disk
+  int calls = 0;  // consecutive failures; 0: until the test repairs the disk
 };
 
-// What SQLite's own VFS makes of the errno of a failed call.
+// The result that SQLite's own VFS returns for the errno of a failed call.
 int result_of(int error, const std::string& call) {
   if (call == "write") return error == ENOSPC ? SQLITE_FULL : SQLITE_IOERR_WRITE;
   if (call == "open") return SQLITE_CANTOPEN;
@@ -26,12 +26,13 @@
   return SQLITE_IOERR_READ;
 }
 
-// One life of a keeper whose `nth` call to its files fails, and what it has written; the calls met.
-int live(const Failure& failure, int nth) {
-  Case c;
+// Runs an AsyncStore on whose files the `nth` call fails, and checks what it has written. Returns the
+// number of calls.
+int run_store(const Failure& failure, int nth) {
+  FaultyDiskFixture c;
   std::atomic<int> calls{0};
   std::atomic<bool> repaired{false};
-  c.keeper.last_retry = 1ms;
+  c.async_settings.last_retry = 1ms;
   c.vfs.hook = [&](const FileStep& s) {
     if (!s.before || s.what == "half") return SQLITE_OK;
     const int call = ++calls;
@@ -40,33 +41,33 @@
   };
   const std::string where = "errno " + std::to_string(failure.error) + ", call " + std::to_string(nth);
   {
-    OpenResult opened = Store::open(c.store);
-    AsyncStore keeper(c.store, std::move(opened), c.keeper);
+    OpenResult opened = Store::open(c.store_settings);
+    AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
     for (int i = 1; i <= kBatches; ++i) {
       std::uint64_t last = 0;
       for (const Change& change : batch(i))
-        last = change.value ? keeper.put(change.key, *change.value) : keeper.erase(change.key);
-      for (int waits = 0; waits < 3000 && !keeper.flush(10ms); ++waits) {
-        if (failure.calls > 0 || keeper.counts().failures < 4 || repaired) continue;
-        EXPECT_LT(keeper.durable_up_to(), last) << where << ": kept on a disk that refuses";
+        last = change.value ? async_store.put(change.key, *change.value) : async_store.erase(change.key);
+      for (int waits = 0; waits < 3000 && !async_store.flush(10ms); ++waits) {
+        if (failure.calls > 0 || async_store.counts().failures < 4 || repaired) continue;
+        EXPECT_LT(async_store.durable_up_to(), last) << where << ": durable on a disk that refuses writes";
         repaired = true;
       }
-      EXPECT_GE(keeper.durable_up_to(), last) << where;
+      EXPECT_GE(async_store.durable_up_to(), last) << where;
     }
-    EXPECT_FALSE(keeper.counts().failing) << where;
+    EXPECT_FALSE(async_store.counts().failing) << where;
     repaired = true;
   }
-  EXPECT_EQ(c.heard.count(Kind::failed), c.heard.count(Kind::written)) << where << "\n" << c.heard.text();
+  EXPECT_EQ(c.events.count(Kind::failed), c.events.count(Kind::written)) << where << "\n" << c.events.text();
   c.vfs.hook = {};
-  const OpenResult found = Store::open(c.store);
+  const OpenResult found = Store::open(c.store_settings);
   EXPECT_EQ(found.how, How::opened) << where << ": " << found.reason;
-  EXPECT_TRUE(state_of(found) == after(kBatches)) << where;
+  EXPECT_TRUE(state_of(found) == state_after(kBatches)) << where;
   return calls;
 }
 
 void fail_each_call(const Failure& failure) {
-  const int total = live({}, 0);
-  for (int nth = 1; nth <= total; ++nth) live(failure, nth);
+  const int total = run_store({}, 0);
+  for (int nth = 1; nth <= total; ++nth) run_store(failure, nth);
   std::printf("failed each of %d calls\n", total);
 }
 
@@ -74,7 +75,7 @@
 TEST_P(EachCall, FailsOnce) { fail_each_call({GetParam(), 1}); }
 TEST_P(EachCall, FailsSeveralTimes) { fail_each_call({GetParam(), 5}); }
 TEST_P(EachCall, FailsUntilTheDiskIsRepaired) { fail_each_call({GetParam(), 0}); }
-INSTANTIATE_TEST_SUITE_P(KeeperDisk, EachCall, testing::Values(ENOSPC, EIO, EROFS));
+INSTANTIATE_TEST_SUITE_P(AsyncStoreDisk, EachCall, testing::Values(ENOSPC, EIO, EROFS));
 
 }  // namespace
 }  // namespace reeltack::store
--- a/tests/store/keeper_test.cpp
+++ b/tests/store/keeper_test.cpp
@@ -1,4 +1,4 @@
-// The keeper: nobody waits for its disk, the latest value wins, and a disk that refuses ends nothing.
+// AsyncStore: callers never wait for the disk, the latest value wins, and a failing disk ends nothing.
 #include "store/keeper.h"
 
 #include <atomic>
@@ -10,150 +10,150 @@
 namespace {
 
 using namespace std::chrono_literals;
-TEST(AsyncStore, NobodyWaitsForADiskThatStandsStillAndTheLatestValueWins) {
-  Case c;
+TEST(AsyncStore, CallersDoNotWaitForABlockedDiskAndTheLatestValueWins) {
+  FaultyDiskFixture c;
   std::mutex disk;
-  std::atomic<bool> stands{false};
-  OpenResult opened = Store::open(c.store);
+  std::atomic<bool> blocked{false};
+  OpenResult opened = Store::open(c.store_settings);
   c.vfs.hook = [&](const FileStep&) {
-    stands = true;
+    blocked = true;
     const std::lock_guard wait(disk);
     return SQLITE_OK;
   };
-  c.keeper.max_bytes = 100000;
-  c.keeper.max_keys = 5;
+  c.async_settings.max_bytes = 100000;
+  c.async_settings.max_keys = 5;
   {
     std::unique_lock stop(disk);
-    AsyncStore keeper(c.store, std::move(opened), c.keeper);
-    std::uint64_t last = keeper.put("first", "0");
+    AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
+    std::uint64_t last = async_store.put("first", "0");
     EXPECT_EQ(last, 1u);
-    while (!stands) std::this_thread::yield();  // "first" is in hand
+    while (!blocked) std::this_thread::yield();  // "first" is in flight
     for (int i = 1; i <= 3000; ++i) {
       const std::uint64_t number =
-          keeper.put(std::string("k").append(1, static_cast<char>('0' + i % 3)), std::to_string(i));
+          async_store.put(std::string("k").append(1, static_cast<char>('0' + i % 3)), std::to_string(i));
       EXPECT_GT(number, last);
       last = number;
     }
-    keeper.erase("k0");
-    EXPECT_EQ(keeper.durable_up_to(), 0u);
-    EXPECT_FALSE(keeper.flush(1ms));
-    EXPECT_EQ(keeper.put("big", std::string(100001, 'x')), 0u);
-    EXPECT_NE(keeper.put("k1", std::string(90000, 'x')), 0u);
-    EXPECT_EQ(keeper.put("k2", std::string(90000, 'x')), 0u);  // its former value stays
-    EXPECT_NE(keeper.put("more", "x"), 0u);
-    EXPECT_EQ(keeper.put("one too many", "x"), 0u);
-    EXPECT_EQ(keeper.counts().refused, 3u);
-    EXPECT_GE(keeper.counts().coalesced, 2997u);
-    EXPECT_EQ(keeper.counts().waiting, 5u);  // first; k0, k1, k2, more
+    async_store.erase("k0");
+    EXPECT_EQ(async_store.durable_up_to(), 0u);
+    EXPECT_FALSE(async_store.flush(1ms));
+    EXPECT_EQ(async_store.put("big", std::string(100001, 'x')), 0u);
+    EXPECT_NE(async_store.put("k1", std::string(90000, 'x')), 0u);
+    EXPECT_EQ(async_store.put("k2", std::string(90000, 'x')), 0u);  // the previous value remains
+    EXPECT_NE(async_store.put("more", "x"), 0u);
+    EXPECT_EQ(async_store.put("one too many", "x"), 0u);
+    EXPECT_EQ(async_store.counts().refused, 3u);
+    EXPECT_GE(async_store.counts().coalesced, 2997u);
+    EXPECT_EQ(async_store.counts().waiting, 5u);  // first; k0, k1, k2, more
     stop.unlock();
-    EXPECT_TRUE(keeper.flush(kLong));
-    EXPECT_EQ(keeper.counts().batches, 2u);
-    EXPECT_EQ(keeper.durable_up_to(), 3004u);
-    keeper.put("last", "word");  // written by the end
+    EXPECT_TRUE(async_store.flush(kTestTimeout));
+    EXPECT_EQ(async_store.counts().batches, 2u);
+    EXPECT_EQ(async_store.durable_up_to(), 3004u);
+    async_store.put("last", "word");  // written during destruction
   }
   c.vfs.hook = {};
   const State want{
       {"first", "0"}, {"k1", std::string(90000, 'x')}, {"k2", "2999"}, {"last", "word"}, {"more", "x"}};
-  EXPECT_EQ(state_of(Store::open(c.store)), want);
+  EXPECT_EQ(state_of(Store::open(c.store_settings)), want);
 }
 
-TEST(AsyncStore, AFullDiskIsToldOnceAndTriedAgainUntilItIsWell) {
-  Case c;
+TEST(AsyncStore, AFullDiskIsReportedOnceAndRetriedUntilItRecovers) {
+  FaultyDiskFixture c;
   std::atomic<bool> full{false};
-  OpenResult opened = Store::open(c.store);
+  OpenResult opened = Store::open(c.store_settings);
   c.vfs.hook = [&](const FileStep& s) {
     return full && s.what == "write" && s.before ? SQLITE_FULL : SQLITE_OK;
   };
-  AsyncStore keeper(c.store, std::move(opened), c.keeper);
-  keeper.put("a", "1");
-  ASSERT_TRUE(keeper.flush(kLong));
+  AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
+  async_store.put("a", "1");
+  ASSERT_TRUE(async_store.flush(kTestTimeout));
   full = true;
-  keeper.put("a", "2");
+  async_store.put("a", "2");
   EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).code, ErrorCode::full);
-  for (int i = 0; i < 3000 && keeper.counts().failures < 4; ++i) ::usleep(10000);
-  EXPECT_GE(keeper.counts().failures, 4u);
-  EXPECT_TRUE(keeper.counts().failing);
-  const std::uint64_t number = keeper.put("a", "3");
-  EXPECT_LT(keeper.durable_up_to(), number);
+  for (int i = 0; i < 3000 && async_store.counts().failures < 4; ++i) ::usleep(10000);
+  EXPECT_GE(async_store.counts().failures, 4u);
+  EXPECT_TRUE(async_store.counts().failing);
+  const std::uint64_t number = async_store.put("a", "3");
+  EXPECT_LT(async_store.durable_up_to(), number);
   full = false;
   c.expect(AsyncStoreEvent::Kind::written);
-  ASSERT_TRUE(keeper.flush(kLong));
-  EXPECT_EQ(c.heard.count(AsyncStoreEvent::Kind::failed), 1u);
-  EXPECT_FALSE(keeper.counts().failing);
-  EXPECT_GE(keeper.durable_up_to(), number);
+  ASSERT_TRUE(async_store.flush(kTestTimeout));
+  EXPECT_EQ(c.events.count(AsyncStoreEvent::Kind::failed), 1u);
+  EXPECT_FALSE(async_store.counts().failing);
+  EXPECT_GE(async_store.durable_up_to(), number);
 }
 
-TEST(AsyncStore, WhatComesWhileAFailingBatchIsInHandIsNewerAndNoByteIsCountedTwice) {
-  Case c;
-  c.keeper.max_bytes = 1000;
-  OpenResult opened = Store::open(c.store);
+TEST(AsyncStore, AChangeDuringAFailingBatchIsNewerAndNoByteIsCountedTwice) {
+  FaultyDiskFixture c;
+  c.async_settings.max_bytes = 1000;
+  OpenResult opened = Store::open(c.store_settings);
   std::mutex disk;
-  std::atomic<bool> stands{false}, fails{true};
+  std::atomic<bool> blocked{false}, fails{true};
   c.vfs.hook = [&](const FileStep& s) {
     if (s.what != "write" || !s.before) return SQLITE_OK;
-    stands = true;
+    blocked = true;
     const std::lock_guard wait(disk);
     return fails.exchange(false) ? SQLITE_FULL : SQLITE_OK;
   };
   {
     std::unique_lock stop(disk);
-    AsyncStore keeper(c.store, std::move(opened), c.keeper);
-    keeper.put("a", std::string(400, 'o'));
-    while (!stands) std::this_thread::yield();
-    keeper.put("a", std::string(400, 'n'));
-    EXPECT_EQ(keeper.put("b", std::string(400, 'x')), 0u);  // both values of a are held
+    AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
+    async_store.put("a", std::string(400, 'o'));
+    while (!blocked) std::this_thread::yield();
+    async_store.put("a", std::string(400, 'n'));
+    EXPECT_EQ(async_store.put("b", std::string(400, 'x')), 0u);  // both values of a are counted
     stop.unlock();
-    ASSERT_TRUE(keeper.flush(kLong));
-    EXPECT_NE(keeper.put("b", std::string(999, 'w')), 0u);  // and none is now
+    ASSERT_TRUE(async_store.flush(kTestTimeout));
+    EXPECT_NE(async_store.put("b", std::string(999, 'w')), 0u);  // and neither is now
   }
   c.vfs.hook = {};
-  EXPECT_EQ(state_of(Store::open(c.store)),
+  EXPECT_EQ(state_of(Store::open(c.store_settings)),
             (State{{"a", std::string(400, 'n')}, {"b", std::string(999, 'w')}}));
-  EXPECT_EQ(c.heard.count(AsyncStoreEvent::Kind::failed), 1u);
+  EXPECT_EQ(c.events.count(AsyncStoreEvent::Kind::failed), 1u);
 }
 
-TEST(AsyncStore, AStoreThatAnotherHasIsTakenWhenItLetsGo) {
-  Case c;
-  OpenResult first = Store::open(c.store);
-  OpenResult second = Store::open(c.store);
+TEST(AsyncStore, ALockedStoreIsOpenedWhenTheLockIsReleased) {
+  FaultyDiskFixture c;
+  OpenResult first = Store::open(c.store_settings);
+  OpenResult second = Store::open(c.store_settings);
   ASSERT_EQ(second.how, How::refused);
-  AsyncStore keeper(c.store, std::move(second), c.keeper);
-  keeper.put("a", "mine");
+  AsyncStore async_store(c.store_settings, std::move(second), c.async_settings);
+  async_store.put("a", "mine");
   const AsyncStoreEvent failed = c.expect(AsyncStoreEvent::Kind::failed);
   EXPECT_EQ(failed.code, ErrorCode::locked);
   first.store.reset();
   EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::opened);
-  EXPECT_TRUE(keeper.flush(kLong));
+  EXPECT_TRUE(async_store.flush(kTestTimeout));
 }
 
-TEST(AsyncStore, DamageThatShowsWhileItRunsIsSetAsideAndAllIsWrittenAgain) {
-  Case c;
-  OpenResult opened = Store::open(c.store);
+TEST(AsyncStore, ADamagedStoreIsSetAsideAndEverythingIsRewritten) {
+  FaultyDiskFixture c;
+  OpenResult opened = Store::open(c.store_settings);
   std::atomic<bool> spoil{false};
   c.vfs.hook = [&](const FileStep& s) {
     if (!spoil || s.what != "write" || !s.before) return SQLITE_OK;
     spoil = false;
-    spit(c.store.dir + "/store.db", std::string(8192, 'x'));
-    fs::remove(c.store.dir + "/store.db-wal");
+    write_file(c.store_settings.dir + "/store.db", std::string(8192, 'x'));
+    fs::remove(c.store_settings.dir + "/store.db-wal");
     return SQLITE_CORRUPT;
   };
   {
-    AsyncStore keeper(c.store, std::move(opened), c.keeper);
-    keeper.put("a", "0");
-    keeper.put("gone", "1");
-    ASSERT_TRUE(keeper.flush(kLong));
-    keeper.put("a", "1");
-    keeper.erase("gone");
-    ASSERT_TRUE(keeper.flush(kLong));
+    AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
+    async_store.put("a", "0");
+    async_store.put("gone", "1");
+    ASSERT_TRUE(async_store.flush(kTestTimeout));
+    async_store.put("a", "1");
+    async_store.erase("gone");
+    ASSERT_TRUE(async_store.flush(kTestTimeout));
     spoil = true;
-    keeper.put("b", "2");
+    async_store.put("b", "2");
     EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::failed).code, ErrorCode::damaged);
     EXPECT_EQ(c.expect(AsyncStoreEvent::Kind::opened).how, How::set_aside);
-    ASSERT_TRUE(keeper.flush(kLong));
-    EXPECT_TRUE(fs::exists(c.store.dir + "/store.db.aside-1"));
+    ASSERT_TRUE(async_store.flush(kTestTimeout));
+    EXPECT_TRUE(fs::exists(c.store_settings.dir + "/store.db.aside-1"));
   }
   c.vfs.hook = {};
-  EXPECT_EQ(state_of(Store::open(c.store)), (State{{"a", "1"}, {"b", "2"}}));
+  EXPECT_EQ(state_of(Store::open(c.store_settings)), (State{{"a", "1"}, {"b", "2"}}));
 }
 
 }  // namespace
--- a/tests/store/points.h
+++ b/tests/store/points.h
@@ -1,4 +1,4 @@
-// Where a store may fail or die, both in its own steps and in those of SQLite on its files.
+// Fault points of a store: its own steps and the file operations of SQLite.
 #pragma once
 
 #include <cerrno>
@@ -9,9 +9,9 @@
 
 namespace reeltack::store {
 
-// Counts every point of both kinds and does at each what the test wants.
-struct Points : FaultInjector {
-  explicit Points(FaultyVfs& vfs) {
+// Counts all fault points of both kinds and runs the action of the test at each of them.
+struct FaultPoints : FaultInjector {
+  explicit FaultPoints(FaultyVfs& vfs) {
     vfs.hook = [this](const FileStep& s) {
       return s.what == "read" && !reads ? SQLITE_OK : visit(s.what, s.before);
     };
--- a/tests/store/read_only_test.cpp
+++ b/tests/store/read_only_test.cpp
@@ -1,5 +1,5 @@
-// A store on a disk that can be read and not be written: what it holds is read and proven, no file changes,
-// and writes resume when the disk can be written again.
+// A store on a disk that can be read but not written: its content is read and verified, no file
+// changes, and writes resume when the disk becomes writable.
 #include "store/read_only.h"
 
 #include <sys/wait.h>
@@ -16,7 +16,7 @@
 
 const State kHeld{{"members", "n0,n1"}, {"vote", "7"}};
 
-// Refuses what would change a file, by the errno that the machine gives for it.
+// Refuses all operations that would change a file, with the errno that the system returns.
 struct ReadOnlyDisk : FaultInjector {
   ReadOnlyDisk(FaultyVfs& vfs, int error, bool lock_too) : error_(error), lock_too_(lock_too) {
     vfs.hook = [this](const FileStep& step) {
@@ -34,7 +34,7 @@
   const bool lock_too_;
 };
 
-// Leaves a store of an earlier life, its last batch in the log as after a kill.
+// Creates the store of an earlier run, with its last batch in the log as after a kill.
 void leave_store(const StoreSettings& where) {
   StoreSettings killed = where;
   killed.dir = where.dir + ".running";
@@ -53,78 +53,79 @@
 };
 class ReadOnly : public testing::TestWithParam<Refusal> {};
 
-TEST_P(ReadOnly, IsReadAtTheStartAndWritesResumeByThemselves) {
-  Case c;
+TEST_P(ReadOnly, IsReadAtTheStartAndWritesResume) {
+  FaultyDiskFixture c;
   ReadOnlyDisk disk(c.vfs, GetParam().error, GetParam().lock_too);
-  c.store.faults = &disk;
-  leave_store(c.store);
-  const std::string file = slurp(c.store.dir + "/store.db"), log = slurp(c.store.dir + "/store.db-wal");
+  c.store_settings.faults = &disk;
+  leave_store(c.store_settings);
+  const std::string file = read_file(c.store_settings.dir + "/store.db"),
+                    log = read_file(c.store_settings.dir + "/store.db-wal");
   disk.read_only = true;
-  OpenResult opened = open_or_read(c.store);
+  OpenResult opened = open_or_read(c.store_settings);
   EXPECT_EQ(opened.how, How::read_only) << opened.reason;
   EXPECT_EQ(opened.store, nullptr);
   EXPECT_EQ(state_of(opened), kHeld);
   EXPECT_EQ(opened.foreign, 0u);
   EXPECT_FALSE(opened.reason.empty());
-  EXPECT_EQ(slurp(c.store.dir + "/store.db"), file);
-  EXPECT_EQ(slurp(c.store.dir + "/store.db-wal"), log);
+  EXPECT_EQ(read_file(c.store_settings.dir + "/store.db"), file);
+  EXPECT_EQ(read_file(c.store_settings.dir + "/store.db-wal"), log);
 
   State found;
-  c.keeper.on_records_found = [&](const std::vector<StoredRecord>& records) {
+  c.async_settings.on_records_found = [&](const std::vector<StoredRecord>& records) {
     for (const StoredRecord& record : records) found[record.key] = record.value;
   };
   {
-    AsyncStore keeper(c.store, std::move(opened), c.keeper);
-    const std::uint64_t number = keeper.put("vote", "8");
+    AsyncStore async_store(c.store_settings, std::move(opened), c.async_settings);
+    const std::uint64_t number = async_store.put("vote", "8");
     EXPECT_EQ(c.expect(Kind::failed).code, ErrorCode::io);
-    EXPECT_FALSE(keeper.is_durable("vote", number));
+    EXPECT_FALSE(async_store.is_durable("vote", number));
     disk.read_only = false;
-    EXPECT_TRUE(keeper.flush(kLong)) << c.heard.text();
+    EXPECT_TRUE(async_store.flush(kTestTimeout)) << c.events.text();
     EXPECT_EQ(c.expect(Kind::opened).how, How::opened);
   }
   EXPECT_EQ(found, kHeld);
-  EXPECT_EQ(state_of(Store::open(c.store)), (State{{"members", "n0,n1"}, {"vote", "8"}}));
+  EXPECT_EQ(state_of(Store::open(c.store_settings)), (State{{"members", "n0,n1"}, {"vote", "8"}}));
 }
 INSTANTIATE_TEST_SUITE_P(Store, ReadOnly,
                          testing::Values(Refusal{EROFS, true}, Refusal{EACCES, true}, Refusal{EROFS, false}));
 
-TEST(StoreReadOnly, AStoreThatAnotherProcessIsWritingIsNotRead) {
-  Case c;
+TEST(StoreReadOnly, AStoreInUseByAnotherProcessIsNotRead) {
+  FaultyDiskFixture c;
   ReadOnlyDisk disk(c.vfs, EACCES, true);
-  OpenResult running = Store::open(c.store);
+  OpenResult running = Store::open(c.store_settings);
   ASSERT_TRUE(running.store->write({{"a", "1"}}, WallTime{}).ok());
-  c.store.faults = &disk;
+  c.store_settings.faults = &disk;
   disk.read_only = true;
-  const OpenResult opened = open_or_read(c.store);
+  const OpenResult opened = open_or_read(c.store_settings);
   EXPECT_EQ(opened.how, How::failed);
   EXPECT_TRUE(opened.records.empty());
   EXPECT_NE(opened.reason.find("is locked"), std::string::npos) << opened.reason;
   disk.read_only = false;
 }
 
-TEST(StoreReadOnly, WhatCannotBeProvenOrIsNotThereIsNotRead) {
-  Case c;
+TEST(StoreReadOnly, DamagedOrMissingFilesAreNotRead) {
+  FaultyDiskFixture c;
   ReadOnlyDisk disk(c.vfs, EROFS, true);
-  c.store.faults = &disk;
-  leave_store(c.store);
+  c.store_settings.faults = &disk;
+  leave_store(c.store_settings);
   disk.read_only = true;
-  const std::string whole = slurp(c.store.dir + "/store.db");
-  const std::string log = slurp(c.store.dir + "/store.db-wal");
-  fs::remove(c.store.dir + "/store.db-wal");
+  const std::string whole = read_file(c.store_settings.dir + "/store.db");
+  const std::string log = read_file(c.store_settings.dir + "/store.db-wal");
+  fs::remove(c.store_settings.dir + "/store.db-wal");
   for (const std::string& bytes : {std::string(8192, 'x'), whole.substr(0, 100), std::string()}) {
-    spit(c.store.dir + "/store.db", bytes);
-    const OpenResult opened = open_or_read(c.store);
+    write_file(c.store_settings.dir + "/store.db", bytes);
+    const OpenResult opened = open_or_read(c.store_settings);
     EXPECT_EQ(opened.how, How::failed) << bytes.size();
     EXPECT_TRUE(opened.records.empty());
-    EXPECT_EQ(slurp(c.store.dir + "/store.db"), bytes);
+    EXPECT_EQ(read_file(c.store_settings.dir + "/store.db"), bytes);
   }
-  spit(c.store.dir + "/store.db-wal", log);  // without its file
-  fs::remove(c.store.dir + "/store.db");
-  EXPECT_EQ(open_or_read(c.store).how, How::failed);
+  write_file(c.store_settings.dir + "/store.db-wal", log);  // without its database
+  fs::remove(c.store_settings.dir + "/store.db");
+  EXPECT_EQ(open_or_read(c.store_settings).how, How::failed);
 }
 
-// No injection: the permissions of files and folder.
-TEST(StoreReadOnly, FilesAndAFolderWithoutPermissionToWriteAreRead) {
+// Without fault injection: uses the permissions of the files and the folder.
+TEST(StoreReadOnly, FilesAndFolderWithoutWritePermissionAreRead) {
   const TempDir temp;
   leave_store(settings(temp / "s"));
   fs::permissions(temp / "", fs::perms{0755});
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -1,4 +1,4 @@
-// Records as bytes: the form that is written, and the form of older programs.
+// Encoding of records: the current layout, and the layout of older versions.
 #include "store/record.h"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 namespace reeltack::store {
 namespace {
 
-constexpr std::size_t kBootAt = 11;     // behind the form, the format and the time of the wall clock
-constexpr std::size_t kBootBytes = 24;  // its name, and the time since it
+constexpr std::size_t kBootAt = 11;  // offset, after the layout version, the format and the wall-clock time
+constexpr std::size_t kBootBytes = 24;  // boot id, and the time since boot
 constexpr std::size_t kSumBytes = 8;
 
 StoredRecord record() {
@@ -30,7 +30,7 @@
   return body;
 }
 
-TEST(StoreRecord, IsReadAsItWasWritten) {
+TEST(StoreRecord, IsReadAsWritten) {
   std::string reason;
   const std::optional<StoredRecord> read = decode("key", encode(record()), reason);
   ASSERT_TRUE(read) << reason;
@@ -42,7 +42,7 @@
   EXPECT_EQ(read->written_since_boot.since_boot, record().written_since_boot.since_boot);
 }
 
-TEST(StoreRecord, OfAnOlderProgramIsReadWithoutABoot) {
+TEST(StoreRecord, OfAnOlderVersionIsReadWithoutABootId) {
   std::string body = encode(record());
   body.resize(body.size() - kSumBytes);
   body.erase(kBootAt, kBootBytes);
@@ -56,14 +56,14 @@
   EXPECT_EQ(read->written_since_boot.boot, clocks::BootId{});
 }
 
-TEST(StoreRecord, OfAnUnknownFormOrCutShortIsNone) {
+TEST(StoreRecord, WithAnUnknownLayoutOrTruncatedIsRejected) {
   std::string body = encode(record());
   body.resize(body.size() - kSumBytes);
   std::string reason;
   for (const char form : {'\0', '\3'}) {
     body[0] = form;
     EXPECT_FALSE(decode("key", with_sum(body), reason));
-    EXPECT_NE(reason.find("has form"), std::string::npos) << reason;
+    EXPECT_NE(reason.find("has layout version"), std::string::npos) << reason;
   }
   body[0] = 2;
   for (std::size_t length = 0; length < kBootAt + kBootBytes; ++length)
--- a/tests/store/script.h
+++ b/tests/store/script.h
@@ -1,4 +1,5 @@
-// What the store's tests share: a folder of their own, a known row of batches, and what each leaves.
+// Helpers of the store's tests: a temporary folder, a fixed sequence of batches, and the state after
+// each of them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
 class TempDir {
  public:
   TempDir() {
-    // In memory where that is to be had: what a disk keeps is worked out, not left to it.
+    // In memory if possible: the effect of a power loss is computed and does not depend on a real disk.
     const bool memory = ::access("/dev/shm", W_OK) == 0;
     std::string pattern = (memory ? fs::path("/dev/shm") : fs::temp_directory_path()) / "store-XXXXXX";
     path_ = ::mkdtemp(pattern.data());
@@ -53,7 +54,7 @@
   return v;
 }
 
-// Batch i of the row: overwrites, a value over many pages, one that goes and comes.
+// Batch i of the sequence: overwrites, a value over several pages, and a key that is erased and put again.
 inline std::vector<Change> batch(int i) {
   std::vector<Change> out{{"offices", value(i, 9000)},
                           {"stage", value(i, 20)},
@@ -62,7 +63,7 @@
   if (i % 3 == 1) out.push_back({"warmth", std::nullopt});
   return out;
 }
-inline State after(int batches) {
+inline State state_after(int batches) {
   State s;
   for (int i = 1; i <= batches; ++i) {
     for (const Change& c : batch(i)) {
@@ -78,11 +79,11 @@
   return s;
 }
 
-inline std::string slurp(const std::string& file) {
+inline std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
-inline void spit(const std::string& file, const std::string& bytes) {
+inline void write_file(const std::string& file, const std::string& bytes) {
   std::ofstream(file, std::ios::binary | std::ios::trunc) << bytes;
 }
 inline void copy_folder(const std::string& from, const std::string& to) {
--- a/tests/store/torn_record_test.cpp
+++ b/tests/store/torn_record_test.cpp
@@ -1,5 +1,5 @@
-// The log's last record, cut off and garbled at each of its bytes: the batch before it or its own is read, or
-// the file is set aside.
+// The last record of the log is truncated or garbled at each of its bytes: the store must hold the last
+// batch or the one before, or the files are set aside.
 #include <algorithm>
 
 #include "judge.h"
@@ -16,11 +16,11 @@
   return log;
 }
 
-// A store with its log as a kill leaves them, whose last batch is as small as one can be.
-struct TornCase {
-  TornCase() {
+// Database and log as a kill leaves them, with the smallest possible last batch.
+struct TornLogFixture {
+  TornLogFixture() {
     StoreSettings where = settings(temp / "s");
-    where.checkpoint_pages = 1000;  // the log is not carried over
+    where.checkpoint_pages = 1000;  // no checkpoint
     OpenResult opened = Store::open(where);
     const auto write = [&](const std::string& text) {
       EXPECT_TRUE(opened.store->write({{"vote", text}, {"held", text}}, WallTime{}).ok());
@@ -29,17 +29,17 @@
     write("2");
     last_begins = fs::file_size(temp / "s/store.db-wal");
     write("3");
-    file = slurp(temp / "s/store.db");
-    log = slurp(temp / "s/store.db-wal");
+    file = read_file(temp / "s/store.db");
+    log = read_file(temp / "s/store.db-wal");
   }
   void tear_at(std::size_t at, Tear tear) {
     const std::string bytes = torn(log, at, tear);
     fs::remove_all(temp / "d");
     fs::create_directory(temp / "d");
-    spit(temp / "d/store.db", file);
-    spit(temp / "d/store.db-wal", bytes);
+    write_file(temp / "d/store.db", file);
+    write_file(temp / "d/store.db-wal", bytes);
     const State before{{"held", "2"}, {"vote", "2"}}, own{{"held", "3"}, {"vote", "3"}};
-    judge(temp / "d", {before, own}, "store.db-wal", bytes, "byte " + std::to_string(at), tally);
+    check_recovered(temp / "d", {before, own}, "store.db-wal", bytes, "byte " + std::to_string(at), tally);
     ++visited;
   }
   TempDir temp;
@@ -50,7 +50,7 @@
 
 class TornLastRecord : public testing::TestWithParam<Tear> {};
 TEST_P(TornLastRecord, AtEachByteReadsAsABatchOrIsSetAside) {
-  TornCase c;
+  TornLogFixture c;
   ASSERT_GT(c.log.size(), c.last_begins + 4096);
   for (std::size_t at = c.last_begins; at < c.log.size() && !HasFailure(); ++at) c.tear_at(at, GetParam());
   EXPECT_EQ(c.visited, c.log.size() - c.last_begins);
