--- a/bench/circuits_figures.cpp
+++ b/bench/circuits_figures.cpp
@@ -70,7 +70,7 @@
       GroupActions answers;
       v.group(1).receive(v.now, q->message, answers);
       const Message response = std::get<Send>(answers[0]).message;
-      bytes += response.statuses.size() * 16;
+      bytes += response.status.size() * 16;
       v.group(0).receive(v.now, response, queries_sent);
     }
   }
--- a/src/circuits/group.h
+++ b/src/circuits/group.h
@@ -126,7 +126,7 @@
   struct Circuit {
     State state = State::idle;
     bool blocked_local = false;
-    bool block_acknowledged = false;  // the far end has acknowledged blocked_local
+    bool block_acknowledged = false;  // the far end has acknowledged the blocking
     bool blocked_remote = false;
     bool lost = false;
     bool unaudited = true;        // since the connection came up or the circuit was restored
@@ -135,8 +135,8 @@
     std::uint64_t call = 0;
     std::uint32_t sent = 0;
     std::uint32_t received = 0;
-    std::uint32_t seized =
-        0;  // `sent` at this end's last seizure; an iam sent before it was received collides
+    // `sent` at this end's last seizure; an iam sent before that seizure was received collides.
+    std::uint32_t seized = 0;
     std::uint64_t far_call = 0;  // call reported by the far end at the last mismatch
   };
   struct Timer {
--- a/src/circuits/group_audit.cpp
+++ b/src/circuits/group_audit.cpp
@@ -50,7 +50,7 @@
   m.cic = query.cic;
   m.count = query.count;
   m.token = query.token;
-  m.statuses.reserve(query.count);
+  m.status.reserve(query.count);
   for (Cic cic = query.cic; cic < query.cic + query.count; ++cic) {
     const Circuit& c = circuits_[cic];
     CircuitStatus status;
@@ -62,14 +62,14 @@
     } else if (c.state != State::idle) {
       status.state = CircuitStatus::State::changing;
     }
-    m.statuses.push_back(status);
+    m.status.push_back(status);
   }
   actions.emplace_back(Send{std::move(m)});
 }
 
 void Group::compare(Time now, const Message& response, GroupActions& actions) {
   for (std::uint32_t i = 0; i < response.count; ++i)
-    compare_circuit(now, response.cic + i, response.statuses[i]);
+    compare_circuit(now, response.cic + i, response.status[i]);
   if (audit_urgent_ && response.token == urgent_token_) step_audit(now, actions);
 }
 
--- a/src/circuits/group_receive.cpp
+++ b/src/circuits/group_receive.cpp
@@ -135,7 +135,7 @@
       respond(m, actions);
       return true;
     case Kind::cqr:
-      if (m.statuses.size() != m.count) return false;
+      if (m.status.size() != m.count) return false;
       compare(now, m, actions);
       return true;
     default:
--- a/src/circuits/group_settings.h
+++ b/src/circuits/group_settings.h
@@ -14,8 +14,7 @@
 // The order in which an end selects among its idle circuits.
 enum class Hunting {
   opposite,  // the end with the higher point code hunts from the high end, the other from the low one
-  priority,  // own circuits first, the longest idle; then the other end's, the last released (Q.764, method
-             // 2)
+  priority,  // own circuits first, the longest idle; then the other's, last released (Q.764, method 2)
   same,      // both from the low end: for comparison only
 };
 
--- a/src/circuits/message.h
+++ b/src/circuits/message.h
@@ -45,7 +45,7 @@
   std::uint32_t sequence = 0;  // of the sender's messages on this circuit, from 1; 0 in group messages
   std::uint32_t received = 0;  // messages received from the other end on this circuit
   std::uint32_t token = 0;     // cqm, cqr
-  std::vector<CircuitStatus> statuses{};  // cqr
+  std::vector<CircuitStatus> status{};  // cqr
   bool operator==(const Message&) const = default;
 };
 
--- a/src/store/change_queue.cpp
+++ b/src/store/change_queue.cpp
@@ -10,9 +10,9 @@
 bool ChangeQueue::fits(const std::string& key, const std::optional<std::string>& value) const {
   if (key.empty() || key.size() > kMaxKeyBytes || (value && value->size() > kMaxValueBytes)) return false;
   const auto old = waiting_.find(key);
-  if (old == waiting_.end() && waiting() >= most_keys_) return false;
+  if (old == waiting_.end() && waiting() >= max_keys_) return false;
   const std::size_t freed = old == waiting_.end() ? 0 : size(key, old->second.value);
-  return bytes_ - freed + size(key, value) <= most_bytes_;
+  return bytes_ - freed + size(key, value) <= max_bytes_;
 }
 
 std::uint64_t ChangeQueue::put(const std::string& key, std::optional<std::string> value) {
@@ -49,7 +49,7 @@
     latest_values_.erase(old);
   }
   const std::size_t more = size(key, value);
-  if (latest_values_.size() >= most_keys_ || latest_bytes_ + more > most_bytes_) return;
+  if (latest_values_.size() >= max_keys_ || latest_bytes_ + more > max_bytes_) return;
   latest_bytes_ += more;
   latest_values_.emplace(key, value);
 }
--- a/src/store/change_queue.h
+++ b/src/store/change_queue.h
@@ -25,7 +25,7 @@
 
 class ChangeQueue {
  public:
-  ChangeQueue(std::size_t max_bytes, std::size_t max_keys) : most_bytes_(max_bytes), most_keys_(max_keys) {}
+  ChangeQueue(std::size_t max_bytes, std::size_t max_keys) : max_bytes_(max_bytes), max_keys_(max_keys) {}
 
   // Returns the number of the change, increasing from 1; 0 if it is rejected.
   std::uint64_t put(const std::string& key, std::optional<std::string> value);
@@ -71,11 +71,11 @@
   void retain_latest(const std::string& key, const std::optional<std::string>& value);
   void requeue(Change&& change, const InFlight& previous);
 
-  const std::size_t most_bytes_, most_keys_;
+  const std::size_t max_bytes_, max_keys_;
   std::map<std::string, Waiting> waiting_;
   std::map<std::string, InFlight> in_flight_;
-  Values
-      latest_values_;  // the latest value of each key that was put or remembered, nothing where it was erased
+  // The latest value of each key that was put or remembered; no value if the key was erased.
+  Values latest_values_;
   std::size_t bytes_ = 0;  // total size of waiting_ and in_flight_
   std::size_t latest_bytes_ = 0;
   std::uint64_t number_ = 0;  // of the last accepted change
--- a/src/store/contents.cpp
+++ b/src/store/contents.cpp
@@ -179,7 +179,7 @@
       rc = erase.run();
       continue;
     }
-    const std::string bytes = record(change->key, *change->value, at);
+    const std::string bytes = encode_record(change->key, *change->value, at);
     put.bind(1, key);
     put.bind(2, bytes);
     rc = put.run();
--- a/src/store/contents.h
+++ b/src/store/contents.h
@@ -44,18 +44,18 @@
   WriteResult limit_log_size();
   // Checks that the open files are still the ones that the next open() will find in the folder.
   WriteResult verify_files();
-  // Writes one transaction, durable if ok(). The caller has checked keys and sizes.
   struct Timestamps {
     clocks::WallTime wall{};
     clocks::BootTime since_boot{};
   };
+  // Writes one transaction, durable if ok(). The caller has checked keys and sizes.
   WriteResult apply(const std::map<std::string_view, const Change*>& last, const Timestamps& at);
-  std::string record(const std::string& key, const std::string& value, const Timestamps& at) const {
+  std::string encode_record(const std::string& key, const std::string& value, const Timestamps& at) const {
     return encode(
         StoredRecord{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
   }
   std::string seal_record(const Seal& value, const Timestamps& at) const {
-    return record(std::string(kSealKey), encode(value), at);
+    return encode_record(std::string(kSealKey), encode(value), at);
   }
   void unload() {
     for (Statement* s : {&begin, &commit, &rollback, &put, &erase}) s->finalize();
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -119,18 +119,18 @@
 struct OpenResult {
   enum class How {
     fresh,      // there was no store
-    opened,     // `kept` is what was there
-    set_aside,  // unreadable: renamed to `where`, said in `why`; the store is empty
-    refused,    // another process has it: no store; `why` names the file and the pid
-    read_only,  // the machine refused to write, so no store; `kept` is what was there (store/read_only.h)
-    failed,     // the machine refused: no store, nothing was renamed
+    opened,     // `records` holds its content
+    set_aside,  // unreadable: renamed to `aside_path`, cause in `reason`; the store is empty
+    refused,    // in use by another process: no store; `reason` names the file and the pid
+    read_only,  // writing was refused: no store; `records` holds its content (store/read_only.h)
+    failed,     // refused by the system: no store, nothing was renamed
   };
   How how = How::failed;
   std::unique_ptr<Store> store;       // null for refused, read_only and failed
   std::vector<StoredRecord> records;  // ordered by key
   std::size_t foreign = 0;            // number of records of another fleet or owner
   std::string reason;                 // empty for fresh and opened
-  std::string aside_path;             // for set_aside: the file's new name; its log's is that and "-wal"
+  std::string aside_path;             // for set_aside: new path of the file; its log has the same with "-wal"
 };
 std::string_view name(OpenResult::How how);
 
--- a/src/trunk/codec.cpp
+++ b/src/trunk/codec.cpp
@@ -36,10 +36,10 @@
   m.sequence = s.sequence();
   m.received = s.heard();
   m.token = s.token();
-  m.statuses.reserve(static_cast<std::size_t>(s.words_size()));
+  m.status.reserve(static_cast<std::size_t>(s.words_size()));
   for (const wire::Word& w : s.words()) {
     if (w.state() > 3) throw CodecError("a circuit in the unknown state " + std::to_string(w.state()));
-    m.statuses.push_back(
+    m.status.push_back(
         {static_cast<circuits::CircuitStatus::State>(w.state()), w.standing(), w.heard(), w.call()});
   }
   return m;
@@ -72,7 +72,7 @@
   out.set_sequence(m.sequence);
   out.set_heard(m.received);
   out.set_token(m.token);
-  for (const circuits::CircuitStatus& w : m.statuses) {
+  for (const circuits::CircuitStatus& w : m.status) {
     wire::Word& word = *out.add_words();
     word.set_state(static_cast<std::uint32_t>(w.state));
     word.set_standing(w.established);
--- a/tests/circuits/model_test.cpp
+++ b/tests/circuits/model_test.cpp
@@ -133,7 +133,7 @@
         for (const std::uint64_t v : {std::uint64_t{m.cic}, std::uint64_t{m.count}, m.call,
                                       std::uint64_t{m.sequence}, std::uint64_t{m.received}})
           out += static_cast<char>(v);
-        for (const CircuitStatus& word : m.statuses) {
+        for (const CircuitStatus& word : m.status) {
           out += static_cast<char>(word.state);
           out += static_cast<char>(word.received);
           out += static_cast<char>(word.call);
--- a/tests/circuits/wire_test.cpp
+++ b/tests/circuits/wire_test.cpp
@@ -91,7 +91,7 @@
            .call = 9,
            .sequence = 1,
            .received = 5});  // acknowledges messages not sent
-  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .statuses = std::vector<CircuitStatus>(1)});
+  refused({.kind = Kind::cqr, .cic = 0, .count = 2, .status = std::vector<CircuitStatus>(1)});
   refused({.kind = Kind::blo, .cic = 0, .count = 0});
   // A call id that is in use is rejected on its circuit; the first call continues.
   GroupActions actions;
--- a/tests/store/disk.h
+++ b/tests/store/disk.h
@@ -32,9 +32,9 @@
   // Of the unsynced changes all, none or some reach the disk.
   const auto carry_out_some = [&](const std::vector<const FileChange*>& changes) {
     for (const FileChange* u : changes) {
-      const bool whole = kind == 1 || (kind >= 2 && draw() % 2 == 0);
-      const bool torn = kind >= 2 && !whole && u->kind == FileChange::Kind::write && draw() % 2 == 0;
-      if (whole || torn) carry_out(*u, torn ? u->bytes.size() / 2 : u->bytes.size());
+      const bool complete = kind == 1 || (kind >= 2 && draw() % 2 == 0);
+      const bool torn = kind >= 2 && !complete && u->kind == FileChange::Kind::write && draw() % 2 == 0;
+      if (complete || torn) carry_out(*u, torn ? u->bytes.size() / 2 : u->bytes.size());
     }
   };
   for (std::size_t i = 0; i < end; ++i) {
--- a/tests/store/hanging_disk_test.cpp
+++ b/tests/store/hanging_disk_test.cpp
@@ -188,12 +188,12 @@
     StoreSettings copy = settings(c.temp / "copy");
     EXPECT_EQ(state_of(Store::open(copy)).at("a"), "1") << "a durable change was lost";
   }
-  const std::string heard = c.events.text();
+  const std::string events_before = c.events.text();
   c.gate.open();
   ended.get();
   EXPECT_TRUE(wait_until_unlocked(c.store_settings));
   if (in_time) {
-    EXPECT_EQ(c.events.text(), heard) << "the detached thread calls a destroyed owner";
+    EXPECT_EQ(c.events.text(), events_before) << "the detached thread calls a destroyed owner";
   }
 }
 
--- a/tests/store/read_only_test.cpp
+++ b/tests/store/read_only_test.cpp
@@ -109,10 +109,10 @@
   c.store_settings.faults = &disk;
   leave_store(c.store_settings);
   disk.read_only = true;
-  const std::string whole = read_file(c.store_settings.dir + "/store.db");
+  const std::string database = read_file(c.store_settings.dir + "/store.db");
   const std::string log = read_file(c.store_settings.dir + "/store.db-wal");
   fs::remove(c.store_settings.dir + "/store.db-wal");
-  for (const std::string& bytes : {std::string(8192, 'x'), whole.substr(0, 100), std::string()}) {
+  for (const std::string& bytes : {std::string(8192, 'x'), database.substr(0, 100), std::string()}) {
     write_file(c.store_settings.dir + "/store.db", bytes);
     const OpenResult opened = open_or_read(c.store_settings);
     EXPECT_EQ(opened.how, How::failed) << bytes.size();
--- a/tests/trunk/trunk_test.cpp
+++ b/tests/trunk/trunk_test.cpp
@@ -36,8 +36,7 @@
   Signal cqr;
   cqr.message = {circuits::Kind::cqr, 256, 256, 0, 0, 0, 0, 9, {}};
   for (std::uint32_t i = 0; i < 256; ++i)
-    cqr.message.statuses.push_back(
-        {circuits::CircuitStatus::State::out, true, 0xffffffff, 0xffffffffffffffff});
+    cqr.message.status.push_back({circuits::CircuitStatus::State::out, true, 0xffffffff, 0xffffffffffffffff});
   const std::string bytes =
       encode(Hello{1, "g", 30, 2, 1, true, 77}) + encode(iam) + encode_ping() + encode(cqr);
   EXPECT_LT(encode(cqr).size(), kMostFrame) << "256 circuits fit a frame at their largest";
