--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,5 +1,5 @@
-// The store's figures: a durable write by size, the file after many overwrites, opening, memory, and what the
-// caller of the keeper waits. On the folder given, so on its disk.
+// Figures of the store: a durable write by size, the file size after many overwrites, opening, memory,
+// and the time that put() of the asynchronous store takes. Uses the given folder and so its disk.
 //
 //   build-test/store_bench [FOLDER]
 #include <stdlib.h>
@@ -30,7 +30,7 @@
               ms.back());
 }
 
-// Of this process, in KiB: its own pages and those of files, which can be dropped.
+// Prints the memory of this process in KiB: anonymous pages, and file pages, which can be dropped.
 void memory(const char* when) {
   std::ifstream in("/proc/self/status");
   std::printf("%-34s", when);
@@ -49,10 +49,10 @@
 
 std::string key(int i) { return std::string("key-").append(std::to_string(i)); }
 
-store::Opened open(const store::StoreSettings& settings) {
-  store::Opened opened = store::Store::open(settings);
+store::OpenResult open(const store::StoreSettings& settings) {
+  store::OpenResult opened = store::Store::open(settings);
   if (!opened.store) {
-    std::fprintf(stderr, "store_bench: %s\n", opened.why.c_str());
+    std::fprintf(stderr, "store_bench: %s\n", opened.reason.c_str());
     std::exit(1);
   }
   return opened;
@@ -68,7 +68,7 @@
 void measure(store::StoreSettings settings) {
   memory("before");
   {
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     for (const auto& [size, times] : {std::pair{1024, 1500}, {16384, 1500}, {131072, 400}}) {
       std::vector<double> ms;
       for (int i = 0; i < times; ++i) {
@@ -82,7 +82,7 @@
   }
   settings.dir = settings.dir.substr(0, settings.dir.rfind('/')) + "/other";
   {
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     for (int i = 0; i < 10000; ++i) write(*opened.store, i, i % 10 == 0 ? 16384 : 1024);
     for (const auto& file : fs::directory_iterator(settings.dir)) {
       std::printf("10,000 overwrites: %-10s %ju\n", file.path().filename().c_str(),
@@ -92,22 +92,22 @@
   std::vector<double> ms;
   for (int i = 0; i < 50; ++i) {
     const auto from = Clock::now();
-    const store::Opened opened = open(settings);
+    const store::OpenResult opened = open(settings);
     ms.push_back(ms_since(from));
   }
   print("open, prove and read all", ms);
   std::vector<double> put;
-  store::KeeperCounts counts;
+  store::AsyncStoreCounts counts;
   {
-    store::Keeper keeper(settings, open(settings), {});
+    store::AsyncStore async_store(settings, open(settings), {});
     for (int i = 0; i < 100000; ++i) {
       const std::string name = key(i % 32);
       const auto from = Clock::now();
-      keeper.put(name, value(16, i));
+      async_store.put(name, value(16, i));
       put.push_back(ms_since(from));
     }
-    keeper.flush(std::chrono::seconds(30));
-    counts = keeper.counts();
+    async_store.flush(std::chrono::seconds(30));
+    counts = async_store.counts();
   }
   print("put on the keeper, disk at work", put);
   std::printf("%ju puts in %ju batches\n", static_cast<std::uintmax_t>(counts.taken),
--- a/src/store/contents.h
+++ b/src/store/contents.h
@@ -1,7 +1,8 @@
-// What is in the file: its connection, its statements, each record's checksum and the seal over them.
+// The open database file: its connection, prepared statements, the checksum of each record and the seal
+// over all of them.
 //
-// Owns: the table's form and the proof of it. Must never: rename or delete a file, or take what is not
-// proven.
+// Defines the table layout and verifies it. Never renames or deletes a file, and accepts no content
+// that it cannot verify. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -14,49 +15,52 @@
 namespace reeltack::store {
 
 inline constexpr std::string_view kSealKey;
-inline constexpr std::uint64_t kPage = 4096;  // bytes; the engine's own default, told to it all the same
+inline constexpr std::uint64_t kPageBytes = 4096;  // SQLite's default, set explicitly all the same
 
 struct Contents {
   explicit Contents(const StoreSettings& s) : settings(s), file(s.dir + "/store.db") {}
 
   const StoreSettings settings;
   const std::string file;
-  Lock lock;  // the last to go
+  Lock lock;  // declared first so that it is released last
   Database database;
-  Statement begin, commit, rollback, put, take;
-  std::map<std::string, std::uint64_t> sums;  // each record's checksum
+  Statement begin, commit, rollback, put, erase;
+  std::map<std::string, std::uint64_t> checksums;  // of each record, by key
   Seal seal;
-  std::optional<FileId> database_id, log_id;  // of the files that are open
+  std::optional<FileId> database_id, log_id;  // of the open files
   bool damaged = false;
 
-  [[nodiscard]] Written fail(Why why, const std::string& text) const { return {why, file + ": " + text}; }
-  [[nodiscard]] Written fail(int result) const { return fail(why_of(result), database.error()); }
+  [[nodiscard]] WriteResult fail(ErrorCode code, const std::string& text) const {
+    return {code, file + ": " + text};
+  }
+  [[nodiscard]] WriteResult fail(int result) const { return fail(error_code_of(result), database.error()); }
 
-  // Opens the file and proves all that is in it; `made`: it was empty and is a store now.
-  Written load(std::vector<Kept>& kept, bool& made);
-  Written set_up();
-  Written make();
-  Written prove(std::vector<Kept>& kept);
-  // A log that cannot be carried over (its disk writes, the file's does not) must not grow for ever.
-  Written bound_log();
-  // Whether what was written is where the next opening will look for it.
-  Written still_there();
-  // One transaction, durable where ok(); keys and sizes are checked before.
-  struct Moment {
+  // Opens the file and verifies all of it. `created` is set if it was empty and has been initialized.
+  WriteResult load(std::vector<StoredRecord>& records, bool& created);
+  WriteResult configure_connection();
+  WriteResult create_schema();
+  WriteResult verify(std::vector<StoredRecord>& records);
+  // Limits the write-ahead log when checkpoints fail (the log can be written but the database file cannot).
+  WriteResult limit_log_size();
+  // Checks that the open files are still the ones that the next open() will find in the folder.
+  WriteResult verify_files();
+  struct Timestamps {
     clocks::WallTime wall{};
     clocks::BootTime since_boot{};
   };
-  Written apply(const std::map<std::string_view, const Change*>& last, const Moment& at);
-  std::string record(const std::string& key, const std::string& value, const Moment& at) const {
-    return encode(Kept{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
+  // Writes one transaction, durable if ok(). The caller has checked keys and sizes.
+  WriteResult apply(const std::map<std::string_view, const Change*>& last, const Timestamps& at);
+  std::string encode_record(const std::string& key, const std::string& value, const Timestamps& at) const {
+    return encode(
+        StoredRecord{key, value, settings.fleet, settings.owner, settings.format, at.wall, at.since_boot});
   }
-  std::string sealed(const Seal& value, const Moment& at) const {
-    return record(std::string(kSealKey), encode(value), at);
+  std::string seal_record(const Seal& value, const Timestamps& at) const {
+    return encode_record(std::string(kSealKey), encode(value), at);
   }
   void unload() {
-    for (Statement* s : {&begin, &commit, &rollback, &put, &take}) s->drop();
+    for (Statement* s : {&begin, &commit, &rollback, &put, &erase}) s->finalize();
     database.close();
-    sums.clear();
+    checksums.clear();
     seal = {};
   }
 };
--- a/src/store/disk_calls.cpp
+++ b/src/store/disk_calls.cpp
@@ -1,79 +1,79 @@
-// The calls to the disk: see the header.
+// Disk calls and their supervision.
 #include "store/disk_calls.h"
 
 namespace reeltack::store {
 
 using std::chrono::milliseconds;
 
-bool DiskCalls::make(const std::function<void()>& call) {
+bool DiskCallMonitor::run_call(const std::function<void()>& call) {
   {
     const std::lock_guard lock(mutex_);
     call_.begin(settings_.clock());
   }
   call_began_.notify_all();
   call();
-  const std::lock_guard telling(telling_);
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
-  if (given_up_) return false;
+  if (abandoned_) return false;
   const auto reported = call_.end(settings_.clock());
   lock.unlock();
-  if (reported) report(KeeperEvent::Kind::returned, *reported);
+  if (reported) report(AsyncStoreEvent::Kind::returned, *reported);
   return true;
 }
 
-void DiskCalls::watch() {
+void DiskCallMonitor::watch() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     call_began_.wait(lock, [this] { return stopping_ || call_.under_way(); });
     lock.unlock();
-    look();
+    check_duration();
     lock.lock();
-    watch_ends_.wait_for(lock, settings_.look_every, [this] { return stopping_; });
+    watch_ends_.wait_for(lock, settings_.watch_interval, [this] { return stopping_; });
   }
 }
 
-// With `telling_` held throughout, the beginning is told before the end.
-void DiskCalls::look() {
-  const std::lock_guard telling(telling_);
+// Holding `reporting_` throughout ensures that the hang is reported before its end.
+void DiskCallMonitor::check_duration() {
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
   const auto now = settings_.clock();
   if (!call_.hangs(now)) return;
-  const CallWatch::Span lasted = call_.lasted(now);
+  const DiskCallTimer::Span lasted = call_.lasted(now);
   lock.unlock();
-  report(KeeperEvent::Kind::hanging, lasted);
+  report(AsyncStoreEvent::Kind::hanging, lasted);
 }
 
-void DiskCalls::stop_watching() {
+void DiskCallMonitor::stop_watching() {
   const std::lock_guard lock(mutex_);
   stopping_ = true;
   call_began_.notify_all();
   watch_ends_.notify_all();
 }
 
-bool DiskCalls::give_up() {
-  const std::lock_guard telling(telling_);
+bool DiskCallMonitor::abandon() {
+  const std::lock_guard reporting(reporting_);
   std::unique_lock lock(mutex_);
   if (!call_.under_way()) return false;
-  given_up_ = true;
-  const CallWatch::Span lasted = call_.lasted(settings_.clock());
+  abandoned_ = true;
+  const DiskCallTimer::Span lasted = call_.lasted(settings_.clock());
   lock.unlock();
-  report(KeeperEvent::Kind::unended, lasted);
+  report(AsyncStoreEvent::Kind::abandoned, lasted);
   return true;
 }
 
-void DiskCalls::tell(const KeeperEvent& event) {
-  const std::lock_guard telling(telling_);
-  if (settings_.told) settings_.told(event);
+void DiskCallMonitor::report_event(const AsyncStoreEvent& event) {
+  const std::lock_guard reporting(reporting_);
+  if (settings_.on_event) settings_.on_event(event);
 }
 
-// Called with `telling_` held.
-void DiskCalls::report(KeeperEvent::Kind kind, CallWatch::Span lasted) {
-  KeeperEvent event = make_event_(kind);
+// Called with `reporting_` held.
+void DiskCallMonitor::report(AsyncStoreEvent::Kind kind, DiskCallTimer::Span lasted) {
+  AsyncStoreEvent event = make_event_(kind);
   event.lasted = std::chrono::duration_cast<milliseconds>(lasted);
-  if (settings_.told) settings_.told(event);
+  if (settings_.on_event) settings_.on_event(event);
 }
 
-bool DiskCalls::hanging() const {
+bool DiskCallMonitor::hanging() const {
   const std::lock_guard lock(mutex_);
   return call_.reported();
 }
--- a/src/store/failure_report.h
+++ b/src/store/failure_report.h
@@ -1,7 +1,5 @@
-// Which failures of a keeper's disk are reported, and as what.
-//
-// Owns: the outage that is on, and its last reason. Must never: read a clock (times are passed in).
-// Threads: one at a time; the keeper's lock sees to it.
+// Decides which disk failures are reported, and as which kind of event. Reads no clock: times are
+// passed in. Not thread-safe; the Writer's lock protects it.
 #pragma once
 
 #include <chrono>
@@ -12,29 +10,30 @@
 
 namespace reeltack::store {
 
-class FailureReport {
+class FailureReporter {
  public:
   using Time = base::Outage::Time;
-  FailureReport(std::chrono::milliseconds first_reminder, std::chrono::milliseconds last_reminder)
+  FailureReporter(std::chrono::milliseconds first_reminder, std::chrono::milliseconds last_reminder)
       : outage_(first_reminder, last_reminder) {}
 
-  // As what this failure is reported: the first, a reminder, or damage that was not known of; or not at all.
-  std::optional<KeeperEvent::Kind> failed(Why why, Time now) {
+  // The kind of event that reports this failure: the first of an outage, a reminder, or damage that was
+  // not known before. Empty if it is not to be reported.
+  std::optional<AsyncStoreEvent::Kind> failed(ErrorCode code, Time now) {
     const base::Outage::Report report = outage_.failed(now);
-    const bool found_damaged = why == Why::damaged && last_why_ != Why::damaged;
-    last_why_ = why;
-    if (report == base::Outage::Report::begun || found_damaged) return KeeperEvent::Kind::failed;
-    if (report == base::Outage::Report::lasting) return KeeperEvent::Kind::lasting;
+    const bool found_damaged = code == ErrorCode::damaged && last_code_ != ErrorCode::damaged;
+    last_code_ = code;
+    if (report == base::Outage::Report::begun || found_damaged) return AsyncStoreEvent::Kind::failed;
+    if (report == base::Outage::Report::lasting) return AsyncStoreEvent::Kind::lasting;
     return std::nullopt;
   }
   void ended() {
-    last_why_ = Why::none;
+    last_code_ = ErrorCode::none;
     outage_.ended();
   }
   [[nodiscard]] bool on() const { return outage_.on(); }
-  // The event with the outage's duration and failures.
-  [[nodiscard]] KeeperEvent event(KeeperEvent::Kind kind, Time now) const {
-    KeeperEvent out;
+  // An event with the duration and the number of failures of the current outage.
+  [[nodiscard]] AsyncStoreEvent event(AsyncStoreEvent::Kind kind, Time now) const {
+    AsyncStoreEvent out;
     out.kind = kind;
     out.lasted = std::chrono::duration_cast<std::chrono::milliseconds>(outage_.lasted(now));
     out.failures = outage_.failures();
@@ -43,7 +42,7 @@
 
  private:
   base::Outage outage_;
-  Why last_why_ = Why::none;
+  ErrorCode last_code_ = ErrorCode::none;
 };
 
 }  // namespace reeltack::store
--- a/src/store/keeper_types.cpp
+++ b/src/store/keeper_types.cpp
@@ -1,4 +1,4 @@
-// The keeper's events as text: see the header.
+// Text form of the events of the asynchronous store.
 #include "store/keeper_types.h"
 
 #include <algorithm>
@@ -6,27 +6,27 @@
 namespace reeltack::store {
 namespace {
 
-std::string name_of(KeeperEvent::Kind kind) {
+std::string name_of(AsyncStoreEvent::Kind kind) {
   switch (kind) {
-    case KeeperEvent::Kind::failed:
+    case AsyncStoreEvent::Kind::failed:
       return "failing";
-    case KeeperEvent::Kind::lasting:
+    case AsyncStoreEvent::Kind::lasting:
       return "still_failing";
-    case KeeperEvent::Kind::written:
+    case AsyncStoreEvent::Kind::written:
       return "written_again";
-    case KeeperEvent::Kind::hanging:
+    case AsyncStoreEvent::Kind::hanging:
       return "hanging";
-    case KeeperEvent::Kind::returned:
+    case AsyncStoreEvent::Kind::returned:
       return "hanging_ended";
-    case KeeperEvent::Kind::unended:
+    case AsyncStoreEvent::Kind::abandoned:
       return "ended_unwritten";
-    case KeeperEvent::Kind::opened:
+    case AsyncStoreEvent::Kind::opened:
       break;
   }
   return "opened";
 }
 
-// A text of the engine may hold a quote; a line of the log must not end there.
+// SQLite error texts may contain a double quote, which would end the quoted value in the log line.
 std::string quoted(std::string text) {
   std::replace(text.begin(), text.end(), '"', '\'');
   return "\"" + text + "\"";
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-std::string to_text(const KeeperEvent& event) {
-  using Kind = KeeperEvent::Kind;
+std::string to_text(const AsyncStoreEvent& event) {
+  using Kind = AsyncStoreEvent::Kind;
   std::string out = "state=" + name_of(event.kind);
   if (event.kind == Kind::opened) out += " how=" + std::string(name(event.how));
-  if (event.why != Why::none) out += " why=" + quoted(std::string(name(event.why)));
+  if (event.code != ErrorCode::none) out += " why=" + quoted(std::string(name(event.code)));
   if (event.kind != Kind::failed) out += " lasted_ms=" + std::to_string(event.lasted.count());
   out += " failures=" + std::to_string(event.failures) + " not_durable=" + std::to_string(event.waiting);
-  if (!event.aside.empty()) out += " aside=" + quoted(event.aside);
+  if (!event.aside_path.empty()) out += " aside=" + quoted(event.aside_path);
   if (!event.text.empty()) out += " text=" + quoted(event.text);
   return out;
 }
--- a/tests/store/heard.h
+++ b/tests/store/heard.h
@@ -1,4 +1,5 @@
-// What a keeper has reported, to be waited for, and a case of one keeper over a disk that a test controls.
+// A log of the events of an asynchronous store that tests can wait for, and a fixture with a store on a
+// disk that the test controls.
 #pragma once
 
 #include <condition_variable>
@@ -11,63 +12,63 @@
 
 namespace reeltack::store {
 
-inline constexpr std::chrono::seconds kLong{30};
+inline constexpr std::chrono::seconds kTestTimeout{30};
 
-// The keeper's events, to be waited for.
-class Heard {
+// Collects events and lets a test wait for them.
+class EventLog {
  public:
-  void operator()(const KeeperEvent& e) {
+  void operator()(const AsyncStoreEvent& e) {
     const std::lock_guard lock(mutex_);
     events_.push_back(e);
     more_.notify_all();
   }
-  // The first event of that kind; whether there was one is told by `found`.
-  KeeperEvent wait(KeeperEvent::Kind kind, bool& found) {
+  // Waits for the first event of that kind; `found` is false on timeout.
+  AsyncStoreEvent wait(AsyncStoreEvent::Kind kind, bool& found) {
     std::unique_lock lock(mutex_);
-    KeeperEvent out;
-    found = more_.wait_for(lock, kLong, [&] {
-      for (const KeeperEvent& e : events_) {
+    AsyncStoreEvent out;
+    found = more_.wait_for(lock, kTestTimeout, [&] {
+      for (const AsyncStoreEvent& e : events_) {
         if (e.kind == kind) return out = e, true;
       }
       return false;
     });
     return out;
   }
-  std::size_t count(KeeperEvent::Kind kind) {
+  std::size_t count(AsyncStoreEvent::Kind kind) {
     const std::lock_guard lock(mutex_);
     std::size_t n = 0;
-    for (const KeeperEvent& e : events_) n += e.kind == kind ? 1 : 0;
+    for (const AsyncStoreEvent& e : events_) n += e.kind == kind ? 1 : 0;
     return n;
   }
-  std::string text() {  // one line an event, for a failure's message
+  std::string text() {  // one line per event, for failure messages
     const std::lock_guard lock(mutex_);
     std::string out;
-    for (const KeeperEvent& e : events_) out += to_text(e) + "\n";
+    for (const AsyncStoreEvent& e : events_) out += to_text(e) + "\n";
     return out;
   }
 
  private:
   std::mutex mutex_;
   std::condition_variable more_;
-  std::vector<KeeperEvent> events_;
+  std::vector<AsyncStoreEvent> events_;
 };
 
-struct Case {
+struct FaultyDiskFixture {
   TempDir temp;
   FaultyVfs vfs;
-  Heard heard;
-  StoreSettings store = settings(temp / "s");
-  KeeperSettings keeper;
-  Case() {
-    store.vfs = FaultyVfs::name;
-    keeper.first_retry = std::chrono::milliseconds(1);
-    keeper.last_retry = std::chrono::milliseconds(8);
-    keeper.end_within = kLong;
-    keeper.told = [this](const KeeperEvent& e) { heard(e); };
+  EventLog events;
+  StoreSettings store_settings = settings(temp / "s");
+  AsyncStoreSettings async_settings;
+  FaultyDiskFixture() {
+    store_settings.vfs = FaultyVfs::name;
+    async_settings.first_retry = std::chrono::milliseconds(1);
+    async_settings.last_retry = std::chrono::milliseconds(8);
+    async_settings.shutdown_timeout = kTestTimeout;
+    async_settings.on_event = [this](const AsyncStoreEvent& e) { events(e); };
   }
-  KeeperEvent expect(KeeperEvent::Kind kind) {
+  AsyncStoreEvent expect(AsyncStoreEvent::Kind kind) {
     bool found = false;
-    KeeperEvent e = heard.wait(kind, found);
+    AsyncStoreEvent e = events.wait(kind, found);
     EXPECT_TRUE(found);
     return e;
   }
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -1,4 +1,4 @@
-// Records as bytes: the form that is written, and the form of older programs.
+// Encoding of records: the current layout, and the layout of older versions.
 #include "store/record.h"
 
 #include <gtest/gtest.h>
@@ -7,12 +7,12 @@
 namespace reeltack::store {
 namespace {
 
-constexpr std::size_t kBootAt = 11;     // behind the form, the format and the time of the wall clock
-constexpr std::size_t kBootBytes = 24;  // its name, and the time since it
+constexpr std::size_t kBootAt = 11;  // offset, after the layout version, the format and the wall-clock time
+constexpr std::size_t kBootBytes = 24;  // boot id, and the time since boot
 constexpr std::size_t kSumBytes = 8;
 
-Kept record() {
-  Kept out;
+StoredRecord record() {
+  StoredRecord out;
   out.key = "key";
   out.value = "value";
   out.fleet = "fleet-1";
@@ -30,10 +30,10 @@
   return body;
 }
 
-TEST(StoreRecord, IsReadAsItWasWritten) {
-  std::string why;
-  const std::optional<Kept> read = decode("key", encode(record()), why);
-  ASSERT_TRUE(read) << why;
+TEST(StoreRecord, IsReadAsWritten) {
+  std::string reason;
+  const std::optional<StoredRecord> read = decode("key", encode(record()), reason);
+  ASSERT_TRUE(read) << reason;
   EXPECT_EQ(read->value, "value");
   EXPECT_EQ(read->fleet + " " + read->owner, "fleet-1 n0");
   EXPECT_EQ(read->format, 3);
@@ -42,32 +42,32 @@
   EXPECT_EQ(read->written_since_boot.since_boot, record().written_since_boot.since_boot);
 }
 
-TEST(StoreRecord, OfAnOlderProgramIsReadWithoutABoot) {
+TEST(StoreRecord, OfAnOlderVersionIsReadWithoutABootId) {
   std::string body = encode(record());
   body.resize(body.size() - kSumBytes);
   body.erase(kBootAt, kBootBytes);
   body[0] = 1;
-  std::string why;
-  const std::optional<Kept> read = decode("key", with_sum(body), why);
-  ASSERT_TRUE(read) << why;
+  std::string reason;
+  const std::optional<StoredRecord> read = decode("key", with_sum(body), reason);
+  ASSERT_TRUE(read) << reason;
   EXPECT_EQ(read->value, "value");
   EXPECT_EQ(read->fleet + " " + read->owner, "fleet-1 n0");
   EXPECT_EQ(read->written_at, record().written_at);
   EXPECT_EQ(read->written_since_boot.boot, clocks::BootId{});
 }
 
-TEST(StoreRecord, OfAnUnknownFormOrCutShortIsNone) {
+TEST(StoreRecord, WithAnUnknownLayoutOrTruncatedIsRejected) {
   std::string body = encode(record());
   body.resize(body.size() - kSumBytes);
-  std::string why;
+  std::string reason;
   for (const char form : {'\0', '\3'}) {
     body[0] = form;
-    EXPECT_FALSE(decode("key", with_sum(body), why));
-    EXPECT_NE(why.find("has form"), std::string::npos) << why;
+    EXPECT_FALSE(decode("key", with_sum(body), reason));
+    EXPECT_NE(reason.find("has layout version"), std::string::npos) << reason;
   }
   body[0] = 2;
   for (std::size_t length = 0; length < kBootAt + kBootBytes; ++length)
-    EXPECT_FALSE(decode("key", with_sum(body.substr(0, length)), why)) << length;
+    EXPECT_FALSE(decode("key", with_sum(body.substr(0, length)), reason)) << length;
 }
 
 }  // namespace
