--- a/src/fleet/link/checks.cpp
+++ b/src/fleet/link/checks.cpp
@@ -17,7 +17,7 @@
   if (fact.version == 0) wrong(field + ".version", "0");
   if (fact.value.size() > kMostValue) wrong(field + ".value", std::to_string(fact.value.size()) + " bytes");
   if (fact.deleted && !fact.value.empty()) wrong(field + ".value", "of a deleted fact");
-  if (fact.age < Duration::zero() || fact.age > kOldestAge) wrong(field + ".age", "out of range");
+  if (fact.age < Duration::zero() || fact.age > kMaxFactAge) wrong(field + ".age", "out of range");
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
   if (message.kind > members::Kind::table)
     wrong("kind", "unknown: " + std::to_string(static_cast<unsigned>(message.kind)));
   at_most(message.updates.size(),
-          message.kind == members::Kind::table ? kMostTableUpdates : members::kMaxUpdates, "updates");
+          message.kind == members::Kind::table ? kMaxTableUpdates : members::kMaxUpdates, "updates");
   for (std::size_t i = 0; i < message.updates.size(); ++i) {
     const members::Update& update = message.updates[i];
     const std::string field = "updates[" + std::to_string(i) + "]";
@@ -67,15 +67,15 @@
   if (exchange.summary.buckets.size() != buckets)
     wrong("buckets", std::to_string(exchange.summary.buckets.size()) + " of them at step " +
                          std::to_string(exchange.step) + ", " + std::to_string(buckets) + " expected");
-  at_most(exchange.digest.known.size(), exchange.step == 1 || exchange.step == 2 ? kMostOwners : 0, "digest");
-  at_most(exchange.delta.owners.size(), exchange.step >= 2 ? kMostOwners : 0, "owners");
+  at_most(exchange.digest.known.size(), exchange.step == 1 || exchange.step == 2 ? kMaxOwners : 0, "digest");
+  at_most(exchange.delta.owners.size(), exchange.step >= 2 ? kMaxOwners : 0, "owners");
   if (exchange.step != 1 && exchange.step != 2 &&
       (exchange.digest.buckets != 0xffffffffU || exchange.digest.listed_only))
     wrong("digest.buckets", "at step " + std::to_string(exchange.step));
   std::size_t facts = 0;
   for (std::size_t i = 0; i < exchange.delta.owners.size(); ++i) {
     const facts::OwnerDelta& of = exchange.delta.owners[i];
-    at_most(facts += of.facts.size(), kMostFacts, "facts");
+    at_most(facts += of.facts.size(), kMaxDeltaFacts, "facts");
     for (std::size_t f = 0; f < of.facts.size(); ++f) {
       const facts::Fact& fact = of.facts[f];
       const std::string field = "owners[" + std::to_string(i) + "].facts[" + std::to_string(f) + "]";
--- a/src/fleet/link/codec.cpp
+++ b/src/fleet/link/codec.cpp
@@ -56,31 +56,34 @@
 
 std::size_t wire_size(const members::Message& message) { return to_wire(message).ByteSizeLong(); }
 std::size_t wire_size(const news::Message& news) { return to_wire(news).ByteSizeLong(); }
-std::size_t wire_size(const Exchange& exchange) { return kLength + to_wire(exchange).ByteSizeLong(); }
+std::size_t wire_size(const Exchange& exchange) {
+  return kFrameLengthBytes + to_wire(exchange).ByteSizeLong();
+}
 
 members::Message decode_message(std::string_view datagram) {
-  if (datagram.empty() || datagram.size() > kMostDatagramRead)
+  if (datagram.empty() || datagram.size() > kMaxReceivedDatagramBytes)
     wrong("message", std::to_string(datagram.size()) + " bytes");
   return parse<wire::Message, members::Message>(datagram, "message");
 }
 
-news::Message decode_news(std::string_view datagram) {
-  if (datagram.empty() || datagram.size() > kMostDatagramRead)
+news::Message decode_push(std::string_view datagram) {
+  if (datagram.empty() || datagram.size() > kMaxReceivedDatagramBytes)
     wrong("news", std::to_string(datagram.size()) + " bytes");
   return parse<wire::News, news::Message>(datagram, "news");
 }
 
-bool is_news(std::string_view datagram) {
-  if (datagram.size() > kMostDatagramRead) return false;
+bool is_push(std::string_view datagram) {
+  if (datagram.size() > kMaxReceivedDatagramBytes) return false;
   wire::News whole;
   static_cast<void>(whole.ParseFromArray(datagram.data(), static_cast<int>(datagram.size())));
   return whole.facts_size() > 0;
 }
 
 std::size_t frame_length(std::string_view first) {
-  if (first.size() < kLength) wrong("length", "cut");
+  if (first.size() < kFrameLengthBytes) wrong("length", "cut");
   std::size_t length = 0;
-  for (std::size_t i = 0; i < kLength; ++i) length = length << 8U | static_cast<unsigned char>(first[i]);
+  for (std::size_t i = 0; i < kFrameLengthBytes; ++i)
+    length = length << 8U | static_cast<unsigned char>(first[i]);
   if (length == 0 || length > kMostFrame) wrong("length", std::to_string(length));
   return length;
 }
--- a/src/fleet/link/codec.h
+++ b/src/fleet/link/codec.h
@@ -20,19 +20,19 @@
 
 namespace reeltack::fleet::link {
 
-inline constexpr std::size_t kMostDatagram = 1400;                        // sent
-inline constexpr std::size_t kMostDatagramRead = std::size_t{16} * 1024;  // taken
-inline constexpr std::size_t kLength = 4;                                 // before each frame of an exchange
-inline constexpr std::size_t kMostFrame = kMaxExchangeBytes - kLength;    // behind it
-inline constexpr std::size_t kMostTableUpdates = 64;                      // of a table; else kMaxUpdates
-inline constexpr std::size_t kMostValue = 4096;                           // bytes of a fact
-inline constexpr std::size_t kMostOwners = 4096;                          // of a digest or delta
-inline constexpr std::size_t kMostFacts = 4096;                           // of a delta, all owners together
+inline constexpr std::size_t kMostDatagram = 1400;                                // sent
+inline constexpr std::size_t kMaxReceivedDatagramBytes = std::size_t{16} * 1024;  // taken
+inline constexpr std::size_t kFrameLengthBytes = 4;  // before each frame of an exchange
+inline constexpr std::size_t kMostFrame = kMaxExchangeBytes - kFrameLengthBytes;  // behind it
+inline constexpr std::size_t kMaxTableUpdates = 64;  // of a table; else kMaxUpdates
+inline constexpr std::size_t kMostValue = 4096;      // bytes of a fact
+inline constexpr std::size_t kMaxOwners = 4096;      // of a digest or delta
+inline constexpr std::size_t kMaxDeltaFacts = 4096;  // of a delta, all owners together
 // What an exchange takes beyond the estimates of facts/sizes.h: once, and for each fact and each owner's
 // part.
 inline constexpr std::size_t kMostHead = 80;
-inline constexpr std::size_t kMostAPart = 10;
-inline constexpr Duration kOldestAge = std::chrono::hours(24 * 3660);
+inline constexpr std::size_t kPartOverheadBytes = 10;
+inline constexpr Duration kMaxFactAge = std::chrono::hours(24 * 3660);
 
 class CodecError : public std::runtime_error {
  public:
@@ -50,10 +50,10 @@
 std::size_t wire_size(const Exchange& exchange);  // with its length
 
 members::Message decode_message(std::string_view datagram);
-news::Message decode_news(std::string_view datagram);
+news::Message decode_push(std::string_view datagram);
 // Which of the two a datagram is; of another version, or where it is neither, a message of the members.
-bool is_news(std::string_view datagram);
-// The length in the first kLength bytes; throws where it is none of the protocol's.
+bool is_push(std::string_view datagram);
+// The length in the first kFrameLengthBytes bytes; throws where it is none of the protocol's.
 std::size_t frame_length(std::string_view first);
 Exchange decode_exchange(std::string_view body);  // without its length
 
--- a/src/fleet/link/connection.cpp
+++ b/src/fleet/link/connection.cpp
@@ -7,7 +7,7 @@
 
 namespace reeltack::fleet::link {
 
-Connection::Connection(Surroundings around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended)
+Connection::Connection(TaskContext around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended)
     : around_(std::move(around)),
       id_(id),
       socket_(std::move(socket)),
@@ -16,12 +16,12 @@
 
 void Connection::dial(Endpoint to, MemberId member) {
   member_ = member;
-  limit(around_.settings.dial_most);
+  limit(around_.settings.dial_timeout);
   start(to);
 }
 
 void Connection::accepted() {
-  limit(around_.settings.silent_most);
+  limit(around_.settings.idle_timeout);
   start(std::nullopt);
 }
 
@@ -37,7 +37,7 @@
     co_await socket_.async_connect(at, with(error));
     if (error) end();
     if (over_) co_return;
-    limit(around_.settings.silent_most);
+    limit(around_.settings.idle_timeout);
   }
   socket_.set_option(asio::ip::tcp::no_delay(true), error);
   up_ = true;
@@ -50,7 +50,7 @@
 }
 
 asio::awaitable<bool> Connection::read_frame() {
-  std::array<char, kLength> length{};
+  std::array<char, kFrameLengthBytes> length{};
   asio::error_code error;
   co_await asio::async_read(socket_, asio::buffer(length), with(error));
   if (error || over_) co_return false;
@@ -63,9 +63,9 @@
   if (error || over_) co_return false;
   if (hanging_) co_return true;  // what still comes is read and dropped, so that our last words arrive
   count(around_.counters.frames_in);
-  count(around_.counters.frame_bytes_in, kLength + body_.size());
-  if (++frames_ > around_.settings.most_frames) co_return malformed(std::nullopt);
-  limit(around_.settings.silent_most);
+  count(around_.counters.frame_bytes_in, kFrameLengthBytes + body_.size());
+  if (++frames_ > around_.settings.max_frames) co_return malformed(std::nullopt);
+  limit(around_.settings.idle_timeout);
   std::optional<MemberId> who;
   try {
     ExchangeReceived said{id_, decode_exchange(body_)};
@@ -85,7 +85,7 @@
 
 void Connection::send(std::string frame) {
   if (over_ || hanging_) return;
-  if (!up_ || queued_ + frame.size() > around_.settings.most_queued) {
+  if (!up_ || queued_ + frame.size() > around_.settings.max_queued_bytes) {
     count(around_.counters.overflowed);
     end();
     return;
@@ -121,7 +121,7 @@
     end(false);
     return;
   }
-  limit(around_.settings.hang_up_most);
+  limit(around_.settings.hang_up_timeout);
   if (!writing_) shut();
 }
 
--- a/src/fleet/link/connection.h
+++ b/src/fleet/link/connection.h
@@ -18,7 +18,7 @@
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Ended = std::function<void(ConnectionId)>;
-  Connection(Surroundings around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended);
+  Connection(TaskContext around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended);
   void dial(Endpoint to, MemberId member);
   void accepted();
   void send(std::string frame);  // closes it where its queue is full
@@ -36,7 +36,7 @@
   void shut();
   bool malformed(std::optional<MemberId> who);  // false
 
-  Surroundings around_;
+  TaskContext around_;
   const ConnectionId id_;
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
--- a/src/fleet/link/connections.cpp
+++ b/src/fleet/link/connections.cpp
@@ -11,7 +11,7 @@
 constexpr auto kPause = std::chrono::milliseconds(50);  // after an accept that failed
 }  // namespace
 
-Connections::Connections(Surroundings around)
+Connections::Connections(TaskContext around)
     : around_(std::move(around)), acceptor_(around_.io), pause_(around_.io) {}
 
 void Connections::open() {
@@ -52,8 +52,8 @@
     of_address += line.accepted && line.from == from ? 1 : 0;
   }
   const LinkSettings& s = around_.settings;
-  if (lines_.size() >= s.most_connections || accepted >= s.most_accepted ||
-      of_address >= s.most_of_an_address) {
+  if (lines_.size() >= s.most_connections || accepted >= s.max_accepted ||
+      of_address >= s.max_accepted_per_address) {
     count(around_.counters.refused);
     return;  // closed as it goes out of scope
   }
--- a/src/fleet/link/connections.h
+++ b/src/fleet/link/connections.h
@@ -12,7 +12,7 @@
 
 class Connections {
  public:
-  explicit Connections(Surroundings around);
+  explicit Connections(TaskContext around);
   void open();  // throws std::system_error
   void start();
   void dial(const Dial& dial);
@@ -33,7 +33,7 @@
   void ended(ConnectionId id);
   std::shared_ptr<Connection> find(ConnectionId id) const;
 
-  Surroundings around_;
+  TaskContext around_;
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer pause_;
   std::map<ConnectionId, Line> lines_;
--- a/src/fleet/link/from_wire.cpp
+++ b/src/fleet/link/from_wire.cpp
@@ -32,7 +32,7 @@
   no_more(f, field);
   if (f.kind() > 0xffff) wrong(field + ".kind", "unknown: " + std::to_string(f.kind()));
   const auto most =
-      static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(kOldestAge).count());
+      static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(kMaxFactAge).count());
   if (f.age() > most) wrong(field + ".age", "out of range");
   facts::Fact out{owner,
                   incarnation,
@@ -70,7 +70,7 @@
   if (m.has_target_at()) out.target_at = read(m.target_at(), "target_at");
   // Bounded before anything is copied.
   const auto updates = static_cast<std::size_t>(m.updates_size());
-  if (updates > kMostTableUpdates) wrong("updates", std::to_string(updates) + " of them");
+  if (updates > kMaxTableUpdates) wrong("updates", std::to_string(updates) + " of them");
   for (int i = 0; i < m.updates_size(); ++i) {
     const wire::Update& u = m.updates(i);
     const std::string field = place("updates", i);
--- a/src/fleet/link/link.cpp
+++ b/src/fleet/link/link.cpp
@@ -31,7 +31,7 @@
 
 class Link::Impl {
  public:
-  Impl(LinkSettings settings, Driver& driver, Outward outward)
+  Impl(LinkSettings settings, Driver& driver, LinkCallbacks outward)
       : settings_(std::move(settings)),
         driver_(driver),
         out_(std::move(outward)),
@@ -39,7 +39,7 @@
         udp_(around()),
         connections_(around()),
         timer_(io_),
-        queue_(settings_.most_from_core) {}
+        queue_(settings_.max_core_events) {}
 
   void start() {
     if (started_) throw LinkError("fleet: the link was started before");
@@ -93,7 +93,7 @@
   }
 
  private:
-  Surroundings around() {
+  TaskContext around() {
     return {io_, settings_, counters_, [this](CoordinatorEvent event) { tell(std::move(event)); },
             [this](Log log) { say(std::move(log)); }};
   }
@@ -172,7 +172,7 @@
       co_await timer_.async_wait(with(error));
       if (leaving_) co_return;
       if (now() < driver_.next() || now() < earliest) continue;
-      udp_.drain(settings_.datagrams_before_tick);  // see link.h: answers that lie here did come
+      udp_.drain(settings_.max_datagrams_before_tick);  // see link.h: answers that lie here did come
       if (now() < driver_.next()) continue;
       run([this](Time at, CoordinatorActions& actions) { driver_.tick(at, actions); });
       earliest = now() + kBetweenTicks;
@@ -184,7 +184,7 @@
     run([this](Time at, CoordinatorActions& actions) { driver_.leave(at, actions); });
     leaving_ = true;
     timer_.cancel();
-    spawn(io_, end_by(settings_.leave_most));
+    spawn(io_, end_by(settings_.leave_timeout));
     connections_.leave([this] { io_.stop(); });
   }
 
@@ -209,7 +209,7 @@
 
   const LinkSettings settings_;
   Driver& driver_;
-  const Outward out_;
+  const LinkCallbacks out_;
   Counters counters_;
   asio::io_context io_;
   UdpTask udp_;
@@ -223,7 +223,7 @@
   base::Thread thread_;
 };
 
-Link::Link(LinkSettings settings, Driver& driver, Outward outward)
+Link::Link(LinkSettings settings, Driver& driver, LinkCallbacks outward)
     : impl_(std::make_unique<Impl>(std::move(settings), driver, std::move(outward))) {}
 Link::~Link() { stop(); }
 void Link::start() { impl_->start(); }
--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -10,8 +10,9 @@
 // A frozen process (SIGSTOP) that goes on: its first tick comes late and is told the true time. Datagrams
 // that came meanwhile and still lie in the socket are read before that tick, so that answers that did come do
 // not count as missing; connections whose time has passed are closed.
-// Bounds: a peer is read a frame or `datagrams_a_turn` at a time, then others have their turn; what does not
-// fit into a socket's buffer is dropped (datagrams) or queued up to `most_queued` (connections, then closed).
+// Bounds: a peer is read a frame or `max_datagrams_per_read` at a time, then others have their turn; what
+// does not fit into a socket's buffer is dropped (datagrams) or queued up to `max_queued_bytes` (connections,
+// then closed).
 //
 // Threads: the constructor starts nothing. start() and stop() by one thread, not the link's own; from_core(),
 // hurry(), kept() and figures() by any. Driver and callbacks are called on the link's thread alone and must
@@ -46,18 +47,18 @@
 struct LinkSettings {
   Endpoint listen;                   // of datagrams and connections both
   std::map<MemberId, Endpoint> via;  // who is reached through another address, whatever an action names
-  Duration dial_most = std::chrono::milliseconds(500);
-  Duration silent_most = std::chrono::seconds(2);  // from one whole frame to the next
-  Duration hang_up_most = std::chrono::milliseconds(500);
-  Duration leave_most = std::chrono::milliseconds(200);
+  Duration dial_timeout = std::chrono::milliseconds(500);
+  Duration idle_timeout = std::chrono::seconds(2);  // from one whole frame to the next
+  Duration hang_up_timeout = std::chrono::milliseconds(500);
+  Duration leave_timeout = std::chrono::milliseconds(200);
   std::size_t most_connections = 32;
-  std::size_t most_accepted = 24;                    // of these; the rest is kept for what is dialled
-  std::size_t most_of_an_address = 4;                // accepted
-  std::size_t most_frames = 16;                      // of a peer on one connection
-  std::size_t most_queued = std::size_t{64} * 1024;  // bytes, a connection
-  std::size_t datagrams_a_turn = 64;
-  std::size_t datagrams_before_tick = 256;
-  std::size_t most_from_core = 1024;
+  std::size_t max_accepted = 24;                          // of these; the rest is kept for what is dialled
+  std::size_t max_accepted_per_address = 4;               // accepted
+  std::size_t max_frames = 16;                            // of a peer on one connection
+  std::size_t max_queued_bytes = std::size_t{64} * 1024;  // bytes, a connection
+  std::size_t max_datagrams_per_read = 64;
+  std::size_t max_datagrams_before_tick = 256;
+  std::size_t max_core_events = 1024;
 };
 
 struct LinkFigures {
@@ -79,7 +80,7 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Outward {  // on the link's thread; each may be empty
+struct LinkCallbacks {  // on the link's thread; each may be empty
   std::function<void(recovery::Terms)> to_core;
   std::function<void(Store)> to_store;
   std::function<void(Log)> log;
@@ -87,14 +88,14 @@
 
 class Link {
  public:
-  Link(LinkSettings settings, Driver& driver, Outward outward);
+  Link(LinkSettings settings, Driver& driver, LinkCallbacks outward);
   ~Link();  // stops
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
   void start();  // once; throws LinkError where the address cannot be had
-  // Leaves in order: the driver's last actions are carried out, what is queued is written, for leave_most at
-  // most; then the thread is joined and the sockets are closed.
+  // Leaves in order: the driver's last actions are carried out, what is queued is written, for leave_timeout
+  // at most; then the thread is joined and the sockets are closed.
   void stop();
   void from_core(recovery::Event event);  // never blocks; what finds the queue full is dropped and counted
   void hurry();                           // the driver's next() may be earlier now; never blocks
--- a/src/fleet/link/task.h
+++ b/src/fleet/link/task.h
@@ -28,7 +28,7 @@
   of.fetch_add(more, std::memory_order_relaxed);
 }
 
-struct Surroundings {  // of every task; they outlive the tasks
+struct TaskContext {  // of every task; they outlive the tasks
   asio::io_context& io;
   const LinkSettings& settings;
   Counters& counters;
--- a/src/fleet/link/udp.cpp
+++ b/src/fleet/link/udp.cpp
@@ -10,8 +10,11 @@
 constexpr auto kRoomAwaited = std::chrono::milliseconds(5);  // after a read that failed for want of memory
 }  // namespace
 
-UdpTask::UdpTask(Surroundings around)
-    : around_(std::move(around)), socket_(around_.io), pause_(around_.io), buffer_(kMostDatagramRead + 1) {}
+UdpTask::UdpTask(TaskContext around)
+    : around_(std::move(around)),
+      socket_(around_.io),
+      pause_(around_.io),
+      buffer_(kMaxReceivedDatagramBytes + 1) {}
 
 void UdpTask::open() {
   const asio::ip::udp::endpoint at(address_of(around_.settings.listen), around_.settings.listen.port);
@@ -28,7 +31,7 @@
     asio::error_code error;
     co_await socket_.async_wait(asio::ip::udp::socket::wait_read, with(error));
     if (error) co_return;
-    if (drain(around_.settings.datagrams_a_turn)) continue;
+    if (drain(around_.settings.max_datagrams_per_read)) continue;
     pause_.expires_after(kRoomAwaited);  // the socket shows as readable all the while
     co_await pause_.async_wait(with(error));
   }
@@ -51,8 +54,8 @@
   count(around_.counters.bytes_in, bytes.size());
   CoordinatorEvent event;
   try {
-    if (is_news(bytes))
-      event = PushReceived{decode_news(bytes)};
+    if (is_push(bytes))
+      event = PushReceived{decode_push(bytes)};
     else
       event = MembershipReceived{decode_message(bytes)};
   } catch (const CodecError& error) {
--- a/src/fleet/link/udp.h
+++ b/src/fleet/link/udp.h
@@ -11,7 +11,7 @@
 
 class UdpTask {
  public:
-  explicit UdpTask(Surroundings around);
+  explicit UdpTask(TaskContext around);
   void open();  // throws std::system_error
   void start();
   void send(const SendMembership& datagram);
@@ -26,7 +26,7 @@
   template <class Sent>
   void carry(const Sent& sent);
 
-  Surroundings around_;
+  TaskContext around_;
   asio::ip::udp::socket socket_;
   asio::steady_timer pause_;
   std::vector<char> buffer_;
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Keeping::Keeping(const config::Controllers& settings, const std::string& owner, Say say)
+FleetStorage::FleetStorage(const config::Controllers& settings, const std::string& owner, Say say)
     : fleet_(settings.fleet), owner_(owner), say_(std::move(say)) {
   Moment now{base::wall_now(), base::boot_now()};
   now.wall += settings.wall_offset;
@@ -45,7 +45,7 @@
   open(settings, now);
 }
 
-void Keeping::open(const config::Controllers& settings, const Moment& now) {
+void FleetStorage::open(const config::Controllers& settings, const Moment& now) {
   store::StoreSettings where;
   where.dir = settings.store;
   where.fleet = fleet_;
@@ -78,7 +78,7 @@
 }
 
 // A copied disk tells of another controller: what it says of offices counts as the oldest, its numbers not.
-void Keeping::read(const std::vector<store::Kept>& records, const Moment& now) {
+void FleetStorage::read(const std::vector<store::Kept>& records, const Moment& now) {
   bool other_fleet = false;
   std::vector<recovery::Record> out;
   for (const store::Kept& r : records) {
@@ -98,7 +98,7 @@
   kept_ = recovery::read_stored_state(out, other_fleet);
 }
 
-void Keeping::put(const Store& what) {
+void FleetStorage::put(const Store& what) {
   if (what.vote) {
     vote_ = what.vote;
     vote_change_ = 0;
@@ -120,7 +120,7 @@
 
 // What the keeper refuses (its queue is full) stays pending, and what the store may hold already is not
 // written over before it has been read.
-void Keeping::hand_over() {
+void FleetStorage::hand_over() {
   take_late();
   if (unread_) return;
   for (auto at = pending_.begin(); at != pending_.end();) {
@@ -143,7 +143,7 @@
 }
 
 // An earlier life's vote or approved version, found late, holds against one of the same epoch or a lower one.
-bool Keeping::stands_against(const Store& promise) const {
+bool FleetStorage::stands_against(const Store& promise) const {
   if (promise.vote) return promise.vote->vote.epoch <= earlier_.vote.epoch;
   const bool held = promise.key == drift::kHeldRecord;
   if (!held && promise.key != drift::kApprovedRecord) return false;
@@ -151,7 +151,7 @@
   return version && version->epoch <= (held ? earlier_.vote.epoch : earlier_.approved.epoch);
 }
 
-void Keeping::take_late() {
+void FleetStorage::take_late() {
   if (!unread_) return;
   std::optional<std::vector<store::Kept>> found;
   {
@@ -163,7 +163,7 @@
   resolve(*found);
 }
 
-void Keeping::resolve(const std::vector<store::Kept>& found) {
+void FleetStorage::resolve(const std::vector<store::Kept>& found) {
   for (const store::Kept& r : found) {
     if (r.fleet != fleet_ || r.owner != owner_ || !is_promise(r.key)) continue;
     keeper_->remember(r.key, r.value);
@@ -174,44 +174,46 @@
   }
 }
 
-bool Keeping::incarnation_is_durable() const { return keeper_->is_durable(kIncarnationKey, change_); }
+bool FleetStorage::incarnation_is_durable() const { return keeper_->is_durable(kIncarnationKey, change_); }
 
 // A vote is worth what the version is that it is for. Records of other keys may wait for room in the store.
-bool Keeping::vote_is_durable() const {
+bool FleetStorage::vote_is_durable() const {
   const bool held = held_change_ == 0 || keeper_->is_durable(drift::kHeldRecord, held_change_);
   return held && keeper_->is_durable(drift::kVoteRecord, vote_change_);
 }
 
-std::optional<drift::Vote> Keeping::vote_lasts() {
+std::optional<drift::Vote> FleetStorage::take_durable_vote() {
   if (!vote_ || !keeper_) return std::nullopt;
   hand_over();
   if (!vote_ || !vote_is_durable()) return std::nullopt;
   return std::exchange(vote_, std::nullopt);
 }
 
-std::optional<Incarnation> Keeping::became_durable(Time now) {
+std::optional<Incarnation> FleetStorage::take_durable_incarnation(Time now) {
   if (asked_ == 0) return std::nullopt;
   // Where nothing is kept there is nothing to wait for: the next start takes a higher one by the clock.
   if (!keeper_) return std::exchange(asked_, 0);
   hand_over();
   if (!asked_since_) asked_since_ = now;
   if (!incarnation_is_durable()) {
-    if (now - *asked_since_ < kNotDurable) return std::nullopt;
+    if (now - *asked_since_ < kMaxDurabilityWait) return std::nullopt;
     say_("store", "durable=no incarnation=" + std::to_string(asked_) +
                       " text=\"used all the same; it is written as soon as the store can be\"");
   }
   return std::exchange(asked_, 0);
 }
 
-std::optional<Duration> Keeping::look_again() const {
+std::optional<Duration> FleetStorage::retry_interval() const {
   if (asked_ == 0 && (!keeper_ || (!vote_ && pending_.empty()))) return std::nullopt;
   return keeper_ && keeper_->counts().failing ? kLookAgainFailing : kLookAgain;
 }
 
-void Keeping::flush(std::chrono::milliseconds within) {
+void FleetStorage::flush(std::chrono::milliseconds within) {
   if (keeper_) static_cast<void>(keeper_->flush(within));
 }
 
-store::KeeperCounts Keeping::counts() const { return keeper_ ? keeper_->counts() : store::KeeperCounts{}; }
+store::KeeperCounts FleetStorage::counts() const {
+  return keeper_ ? keeper_->counts() : store::KeeperCounts{};
+}
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -5,8 +5,8 @@
 //   them.
 // Must never: trust an age that cannot be proven (of another boot of the machine the wall clock alone tells
 //   it; in the future, or of another owner's disk, it is none), report a vote as kept that is not, write a
-//   promise over an unread one of an earlier life, or let the fleet wait for a disk: after kNotDurable an
-//   incarnation goes out all the same, and that is said.
+//   promise over an unread one of an earlier life, or let the fleet wait for a disk: after kMaxDurabilityWait
+//   an incarnation goes out all the same, and that is said.
 //
 // Threads: the constructor and flush() by the program's own, before and after the link's; the rest by the
 // link's. Errors: the constructor throws std::runtime_error where another process has the store.
@@ -24,12 +24,12 @@
 namespace reeltack::fleet {
 
 // So long an own incarnation waits for the store; members that are not answered call this one dead.
-inline constexpr Duration kNotDurable = std::chrono::seconds(1);
+inline constexpr Duration kMaxDurabilityWait = std::chrono::seconds(1);
 
-class Keeping {
+class FleetStorage {
  public:
   using Say = std::function<void(const std::string& event, const std::string& text)>;
-  Keeping(const config::Controllers& settings, const std::string& owner, Say say);
+  FleetStorage(const config::Controllers& settings, const std::string& owner, Say say);
 
   [[nodiscard]] Incarnation incarnation() const { return incarnation_; }  // of this start; kept already
   [[nodiscard]] const std::optional<recovery::PersistedState>& kept() const { return kept_; }
@@ -39,11 +39,12 @@
 
   void put(const Store& what);
   // Votes asked for by put() and durable now, once each. Never where there is no store.
-  [[nodiscard]] std::optional<drift::Vote> vote_lasts();
+  [[nodiscard]] std::optional<drift::Vote> take_durable_vote();
   // Incarnations asked for by put() and durable now, or said not to be; once each.
-  [[nodiscard]] std::optional<Incarnation> became_durable(Time now);
-  // After how long vote_lasts() and became_durable() may say something new; none while nothing is awaited.
-  [[nodiscard]] std::optional<Duration> look_again() const;
+  [[nodiscard]] std::optional<Incarnation> take_durable_incarnation(Time now);
+  // After how long take_durable_vote() and take_durable_incarnation() may say something new; none while
+  // nothing is awaited.
+  [[nodiscard]] std::optional<Duration> retry_interval() const;
   void flush(std::chrono::milliseconds within);
   [[nodiscard]] bool on() const { return keeper_ != nullptr; }
   [[nodiscard]] store::KeeperCounts counts() const;
--- a/src/fleet/service/prepared.cpp
+++ b/src/fleet/service/prepared.cpp
@@ -16,7 +16,7 @@
 Prepared prepare(config::Controllers controllers, config::Node& node) {
   const auto log = logger();
   Prepared out{std::move(controllers), nullptr};
-  out.keeping = std::make_unique<Keeping>(
+  out.keeping = std::make_unique<FleetStorage>(
       out.controllers, node.name,
       [log](const std::string& event, const std::string& text) { log->info("{} {}", event, text); });
   const auto& kept = out.keeping->rules().approved;
--- a/src/fleet/service/prepared.h
+++ b/src/fleet/service/prepared.h
@@ -14,7 +14,7 @@
 
 struct Prepared {
   config::Controllers controllers;
-  std::unique_ptr<Keeping> keeping;
+  std::unique_ptr<FleetStorage> keeping;
 };
 // `node` is changed where an approved version asks for it.
 Prepared prepare(config::Controllers controllers, config::Node& node);
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -76,7 +76,7 @@
     turn_.on(now, event, actions);
   }
   void tick(Time now, CoordinatorActions& actions) override {
-    if (const auto durable = keeping_.became_durable(now))
+    if (const auto durable = keeping_.take_durable_incarnation(now))
       turn_.on(now, IncarnationPersisted{*durable}, actions);
     read_rules(now, actions);
     if (now >= sightings_.next(opens())) {
@@ -90,8 +90,8 @@
   void leave(Time now, CoordinatorActions& actions) override { turn_.leave(now, actions); }
   [[nodiscard]] Time next() const override {
     const Time at = std::min({turn_.next(), sightings_.next(opens()), reading_.next()});
-    const auto look_again = keeping_.look_again();
-    return look_again ? std::min(at, base::now() + *look_again) : at;
+    const auto retry_interval = keeping_.retry_interval();
+    return retry_interval ? std::min(at, base::now() + *retry_interval) : at;
   }
 
   // ---- from others
@@ -141,7 +141,7 @@
  private:
   void apply(const recovery::Terms& terms) {
     for (const recovery::Terms::Line& line : terms.offices) sightings_.name(line.office);
-    TermsApplied::Told told = applied_.take(terms);
+    TermsTranslator::Told told = applied_.take(terms);
     if (!told.offices.empty()) list_.settled(std::move(told.offices));
     if (told.module) core_.terms(std::move(*told.module));
     shown_.settled = true;
@@ -153,7 +153,7 @@
     return out;
   }
   void read_rules(Time now, CoordinatorActions& actions) {
-    if (const auto vote = keeping_.vote_lasts())
+    if (const auto vote = keeping_.take_durable_vote())
       turn_.on(now, DriftEvent{drift::VotePersisted{*vote}}, actions);
     for (drift::Event& event : reading_.collect(now)) turn_.on(now, DriftEvent{std::move(event)}, actions);
   }
@@ -163,16 +163,16 @@
   core::Core& core_;
   core::OfficeList& list_;
   Prepared prepared_;
-  Keeping& keeping_;
+  FleetStorage& keeping_;
   Coordinator turn_;
   Reading reading_;
-  TermsApplied applied_;
+  TermsTranslator applied_;
   Shown shown_;
   std::uint64_t number_ = 0;  // of the list that is heard
   std::uint64_t restarts_ = 0;
   bool caught_up_ = false;
   link::Link link_;
-  Sightings sightings_;
+  OfficeObservations sightings_;
   std::vector<recovery::Event> saw_;
   const MemberId self_;
 };
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/sightings.cpp
@@ -49,13 +49,13 @@
   return out;
 }
 
-bool Sightings::saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation what) {
+bool OfficeObservations::saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation what) {
   if (!counters_.add(now, id, outcome_of(what))) return false;
   rang_.store(true, std::memory_order_release);
   return true;
 }
 
-void Sightings::name(const recovery::Office& office) {
+void OfficeObservations::name(const recovery::Office& office) {
   if (sums_.is_tracked(office)) return;
   counters_.read(totals_);
   const auto found = std::find_if(totals_.begin(), totals_.end(),
@@ -63,13 +63,13 @@
   sums_.track(office, found == totals_.end() ? sums::Totals{} : *found);
 }
 
-void Sightings::collect(Time now, std::vector<recovery::Event>& out) {
+void OfficeObservations::collect(Time now, std::vector<recovery::Event>& out) {
   const bool rang = rang_.exchange(false, std::memory_order_acquire);
   counters_.read(totals_);
   sums_.collect(now, rang, totals_, out);
 }
 
-Time Sightings::next(bool opens) const {
+Time OfficeObservations::next(bool opens) const {
   return rang_.load(std::memory_order_acquire) ? Time::min() : sums_.next(opens);
 }
 
--- a/src/fleet/service/sightings.h
+++ b/src/fleet/service/sightings.h
@@ -20,9 +20,9 @@
 recovery::Office office_of(const core::OfficeEntry& entry);
 core::OfficeEntry entry_of(const recovery::Office& office, ServerState state);
 
-class Sightings {
+class OfficeObservations {
  public:
-  explicit Sightings(MemberId self) : sums_(self) {}
+  explicit OfficeObservations(MemberId self) : sums_(self) {}
   bool saw(Time now, ServerId id,
            core::OfficeObserver::OfficeObservation what);  // true: collect() is due at once
   void name(const recovery::Office& office);               // what is seen from now on is of this life of it
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TermsApplied::Told TermsApplied::take(const recovery::Terms& terms) {
+TermsTranslator::Told TermsTranslator::take(const recovery::Terms& terms) {
   Told out;
   AdmissionLimitsReceived module;
   std::map<ServerId, core::OfficeEntry> now;
--- a/src/fleet/service/terms.h
+++ b/src/fleet/service/terms.h
@@ -13,7 +13,7 @@
 
 namespace reeltack::fleet {
 
-class TermsApplied {
+class TermsTranslator {
  public:
   struct Told {
     std::vector<core::OfficeEntry> offices;         // that have changed
--- a/tests/fleet/controller_disk.h
+++ b/tests/fleet/controller_disk.h
@@ -16,9 +16,9 @@
 
 namespace reeltack::fleet {
 
-class Disk {
+class ControllerDisk {
  public:
-  Disk() {
+  ControllerDisk() {
     vfs_.hook = [this](const store::FileStep& step) {
       vfs_.trace.clear();
       return fails && step.before && step.what != "read" ? SQLITE_CANTOPEN : SQLITE_OK;
@@ -26,19 +26,19 @@
     settings_.fleet = "fleet-1";
     settings_.store = temp_ / "s";
   }
-  std::unique_ptr<Keeping> start() {
-    return std::make_unique<Keeping>(settings_, "n0",
-                                     [this](const std::string& event, const std::string& text) {
-                                       const std::lock_guard lock(mutex_);
-                                       log_ += event + " " + text + "\n";
-                                     });
+  std::unique_ptr<FleetStorage> start() {
+    return std::make_unique<FleetStorage>(settings_, "n0",
+                                          [this](const std::string& event, const std::string& text) {
+                                            const std::lock_guard lock(mutex_);
+                                            log_ += event + " " + text + "\n";
+                                          });
   }
   std::string log() {
     const std::lock_guard lock(mutex_);
     return log_;
   }
   // As an earlier life, which ended at these moments, has left it.
-  void leave_stage(const std::string& stage, clocks::WallTime at, const clocks::BootTime& since_boot) const {
+  void write_stage(const std::string& stage, clocks::WallTime at, const clocks::BootTime& since_boot) const {
     store::StoreSettings store;
     store.dir = settings_.store;
     store.fleet = settings_.fleet;
--- a/tests/fleet/hostile_peer_test.cpp
+++ b/tests/fleet/hostile_peer_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using fleet::link::encode;
-using fleet::link::Raw;
+using fleet::link::RawSocket;
 
 fleet::members::Message join_of(const std::string& name) {
   fleet::members::Message out;
@@ -49,7 +49,7 @@
   }
 }
 void talk(fleet::Endpoint to, const std::string& bytes) {
-  const Raw one(SOCK_STREAM, 9);
+  const RawSocket one(SOCK_STREAM, 9);
   if (one.connect(to) && one.send(bytes)) static_cast<void>(one.closed());
 }
 
@@ -61,7 +61,7 @@
   const std::int64_t before = rig.figure(0, "malformed");
   const std::string datagram = encode(join_of("stranger"));
   std::int64_t cut = 0;
-  const Raw udp(SOCK_DGRAM, 9);
+  const RawSocket udp(SOCK_DGRAM, 9);
   ASSERT_TRUE(udp.connect(link_of(rig, 0)));
   for (std::size_t i = 1; i < datagram.size(); ++i) {
     if (reads(datagram.substr(0, i))) continue;  // an end between two fields: a shorter message
@@ -75,9 +75,9 @@
   const std::string frame = encode(summary_of("stranger"));
   const std::int64_t datagrams = rig.figure(0, "malformed");
   std::int64_t lies = 0;
-  for (std::size_t i = fleet::link::kLength; i + 1 < frame.size(); i += 3) {
+  for (std::size_t i = fleet::link::kFrameLengthBytes; i + 1 < frame.size(); i += 3) {
     std::string lie = frame.substr(0, i);
-    const std::size_t body = i - fleet::link::kLength;
+    const std::size_t body = i - fleet::link::kFrameLengthBytes;
     lie[2] = static_cast<char>(body >> 8U);
     lie[3] = static_cast<char>(body & 255U);
     talk(link_of(rig, 0), lie);
@@ -97,7 +97,7 @@
   rig.pack().start_all();
   ASSERT_TRUE(whole(rig, 2));
   const std::int64_t before = rig.figure(0, "refused");
-  const Raw udp(SOCK_DGRAM, 9);
+  const RawSocket udp(SOCK_DGRAM, 9);
   ASSERT_TRUE(udp.connect(link_of(rig, 0)));
   for (const std::uint32_t version : {fleet::kOldestVersion - 1, fleet::kNewestVersion + 1, 0xffffffffU}) {
     auto message = join_of("other");
@@ -127,12 +127,12 @@
   auto facts = std::async(std::launch::async, [&] {
     for (std::uint64_t n = 0; !stop; ++n) {
       const std::string from = "peer" + std::to_string(n);
-      const Raw one(SOCK_STREAM, 9);
+      const RawSocket one(SOCK_STREAM, 9);
       if (!one.connect(link_of(rig, 0)) || !one.send(encode(summary_of(from)))) continue;
       if (one.send(encode(facts_of(from, "owner" + std::to_string(n), 2)))) static_cast<void>(one.closed());
     }
   });
-  const Raw udp(SOCK_DGRAM, 9);
+  const RawSocket udp(SOCK_DGRAM, 9);
   ASSERT_TRUE(udp.connect(link_of(rig, 0)));
   const Time end = base::now() + 8s;
   for (std::uint64_t n = 0; base::now() < end; ++n) {
--- a/tests/fleet/judged.cpp
+++ b/tests/fleet/judged.cpp
@@ -39,11 +39,11 @@
   return std::nullopt;
 }
 
-Dealt deal(const std::vector<load::OfficeEvent>& log, const std::vector<load::TryRecord>& tries,
-           std::size_t controllers) {
+EventsByController split_events(const std::vector<load::OfficeEvent>& log,
+                                const std::vector<load::TryRecord>& tries, std::size_t controllers) {
   std::unordered_map<std::uint64_t, std::size_t> whose;
   for (const load::TryRecord& t : tries) whose[static_cast<std::uint64_t>(t.id)] = t.target;
-  Dealt out;
+  EventsByController out;
   out.of.resize(controllers);
   for (const load::OfficeEvent& e : log) {
     if (e.what == What::in_service || e.what == What::draining || e.what == What::gone) continue;
@@ -63,8 +63,8 @@
   return rules.found();
 }
 
-First first_of(const std::vector<load::TryRecord>& tries, std::size_t target, std::uint32_t call_class,
-               Time since) {
+First first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
+                       std::uint32_t call_class, Time since) {
   First out;
   const auto earlier = [](std::optional<Time>& first, Time at) { first = std::min(first.value_or(at), at); };
   for (const load::TryRecord& t : tries) {
--- a/tests/fleet/judged.h
+++ b/tests/fleet/judged.h
@@ -23,7 +23,7 @@
   Time at{};
   std::uint32_t office = 0;
   std::string verdict, was;
-  bool other_life = false;
+  bool other_run = false;
 };
 std::vector<VerdictLine> verdicts(const std::string& log);
 
@@ -31,12 +31,12 @@
 std::optional<Time> barred_at(const std::vector<VerdictLine>& lines, std::uint32_t office);
 
 // The offices' log by controller, in order of time. What belongs to none of the tries is under `nobody`.
-struct Dealt {
+struct EventsByController {
   std::vector<std::vector<load::OfficeEvent>> of;  // by target
   std::vector<load::OfficeEvent> nobody;
 };
-Dealt deal(const std::vector<load::OfficeEvent>& log, const std::vector<load::TryRecord>& tries,
-           std::size_t controllers);
+EventsByController split_events(const std::vector<load::OfficeEvent>& log,
+                                const std::vector<load::TryRecord>& tries, std::size_t controllers);
 
 // The rules of attempts over one controller's part of the log, with what it was told when.
 load::RulesChecker::Found rules_of(std::vector<load::OfficeEvent> events,
@@ -47,8 +47,8 @@
   std::optional<Time> came, stood;
   std::size_t refused = 0;  // before the first that stood
 };
-First first_of(const std::vector<load::TryRecord>& tries, std::size_t target, std::uint32_t call_class,
-               Time since);
+First first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
+                       std::uint32_t call_class, Time since);
 
 // Offices that were sent set-ups from an instant on.
 std::set<std::uint32_t> offices_used(const std::vector<load::OfficeEvent>& events, Time from,
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -31,12 +31,12 @@
       return read_only && changes && step.before ? SQLITE_IOERR_WRITE : SQLITE_OK;
     };
   }
-  std::unique_ptr<Keeping> start() {
-    return std::make_unique<Keeping>(settings, "n0",
-                                     [this](const std::string& event, const std::string& text) {
-                                       const std::lock_guard lock(mutex);
-                                       log += event + " " + text + "\n";
-                                     });
+  std::unique_ptr<FleetStorage> start() {
+    return std::make_unique<FleetStorage>(settings, "n0",
+                                          [this](const std::string& event, const std::string& text) {
+                                            const std::lock_guard lock(mutex);
+                                            log += event + " " + text + "\n";
+                                          });
   }
   bool has_said(const std::string& text) {
     const std::lock_guard lock(mutex);
@@ -51,9 +51,9 @@
   std::string log;
 };
 
-bool vote_lasts(Keeping& keeping, const drift::Vote& vote) {
+bool take_durable_vote(FleetStorage& keeping, const drift::Vote& vote) {
   for (int looks = 0; looks < 3000; ++looks) {
-    if (keeping.vote_lasts() == vote) return true;
+    if (keeping.take_durable_vote() == vote) return true;
     ::usleep(10000);
   }
   return false;
@@ -71,15 +71,15 @@
   const Incarnation next = keeping->incarnation() + 100;
   keeping->put(Store{kIncarnationKey, std::to_string(next), std::nullopt});
   const Time now(1000s);
-  EXPECT_FALSE(keeping->vote_lasts());
-  EXPECT_EQ(keeping->became_durable(now), std::nullopt);
-  EXPECT_EQ(keeping->became_durable(now + kNotDurable - 1ms), std::nullopt);
+  EXPECT_FALSE(keeping->take_durable_vote());
+  EXPECT_EQ(keeping->take_durable_incarnation(now), std::nullopt);
+  EXPECT_EQ(keeping->take_durable_incarnation(now + kMaxDurabilityWait - 1ms), std::nullopt);
   EXPECT_FALSE(disk.has_said("durable=no"));
-  EXPECT_EQ(keeping->became_durable(now + kNotDurable), next);
+  EXPECT_EQ(keeping->take_durable_incarnation(now + kMaxDurabilityWait), next);
   EXPECT_TRUE(disk.has_said("durable=no incarnation=" + std::to_string(next))) << disk.log;
-  EXPECT_FALSE(keeping->vote_lasts()) << "a vote that the disk does not have is published";
+  EXPECT_FALSE(keeping->take_durable_vote()) << "a vote that the disk does not have is published";
   disk.gate.open();
-  EXPECT_TRUE(vote_lasts(*keeping, vote));
+  EXPECT_TRUE(take_durable_vote(*keeping, vote));
 }
 
 // The store has no room for the version, which is a new record, and takes the vote, which is not.
@@ -100,7 +100,7 @@
   keeping->put(Store{drift::kVoteRecord, write(vote), vote});
   for (int looks = 0; looks < 3000 && keeping->counts().waiting > 1; ++looks) ::usleep(10000);
   EXPECT_EQ(keeping->counts().waiting, 1u) << "the vote's record is not written";
-  EXPECT_FALSE(keeping->vote_lasts()) << "a vote is published whose version is not kept";
+  EXPECT_FALSE(keeping->take_durable_vote()) << "a vote is published whose version is not kept";
 }
 
 TEST(KeepingHanging, WhatAReadOnlyStoreHoldsIsUsedAndWritesResumeByThemselves) {
@@ -113,7 +113,7 @@
     incarnation = keeping->incarnation();
     keeping->put(Store{drift::kHeldRecord, write(before), std::nullopt});
     keeping->put(Store{drift::kVoteRecord, write(vote_before), vote_before});
-    ASSERT_TRUE(vote_lasts(*keeping, vote_before));
+    ASSERT_TRUE(take_durable_vote(*keeping, vote_before));
   }
   disk.read_only = true;
   const auto keeping = disk.start();
@@ -124,9 +124,9 @@
   EXPECT_GT(keeping->incarnation(), incarnation);
   keeping->put(Store{drift::kHeldRecord, write(next), std::nullopt});
   keeping->put(Store{drift::kVoteRecord, write(vote_next), vote_next});
-  EXPECT_FALSE(keeping->vote_lasts());
+  EXPECT_FALSE(keeping->take_durable_vote());
   disk.read_only = false;
-  EXPECT_TRUE(vote_lasts(*keeping, vote_next)) << disk.log;
+  EXPECT_TRUE(take_durable_vote(*keeping, vote_next)) << disk.log;
   EXPECT_TRUE(disk.has_said("state=opened how=opened")) << disk.log;
 }
 
--- a/tests/fleet/keeping_test.cpp
+++ b/tests/fleet/keeping_test.cpp
@@ -19,7 +19,7 @@
 }
 drift::Vote vote_for(const drift::Version& version) { return {name_of(version), {}}; }
 
-void put_vote(Keeping& keeping, const drift::Version& version) {
+void put_vote(FleetStorage& keeping, const drift::Version& version) {
   keeping.put(Store{drift::kHeldRecord, write(version), std::nullopt});
   keeping.put(Store{drift::kVoteRecord, write(vote_for(version)), vote_for(version)});
 }
@@ -31,12 +31,12 @@
   }
   return false;
 }
-bool lasts(Keeping& keeping, const drift::Version& version) {
-  return until([&] { return keeping.vote_lasts() == vote_for(version); });
+bool lasts(FleetStorage& keeping, const drift::Version& version) {
+  return until([&] { return keeping.take_durable_vote() == vote_for(version); });
 }
 
-TEST(Keeping, AVoteOfAnEarlierLifeThatCouldNotBeReadAtTheStartIsNotCastAgain) {
-  Disk disk;
+TEST(FleetStorage, AVoteOfAnEarlierLifeThatCouldNotBeReadAtTheStartIsNotCastAgain) {
+  ControllerDisk disk;
   const drift::Version first = version_of(5, "3"), second = version_of(5, "4"), later = version_of(6, "4");
   {
     const auto keeping = disk.start();
@@ -48,15 +48,15 @@
     const auto keeping = disk.start();
     ASSERT_FALSE(keeping->rules().vote);
     put_vote(*keeping, second);
-    EXPECT_FALSE(keeping->vote_lasts());
+    EXPECT_FALSE(keeping->take_durable_vote());
     disk.fails = false;
     ASSERT_TRUE(until([&] {
-      EXPECT_FALSE(keeping->vote_lasts()) << disk.log();
+      EXPECT_FALSE(keeping->take_durable_vote()) << disk.log();
       return disk.log().find("vote=none epoch=5") != std::string::npos;
     })) << disk.log();
-    EXPECT_FALSE(keeping->vote_lasts());
+    EXPECT_FALSE(keeping->take_durable_vote());
     put_vote(*keeping, second);
-    EXPECT_FALSE(keeping->look_again()) << "it waits for a vote that never comes";
+    EXPECT_FALSE(keeping->retry_interval()) << "it waits for a vote that never comes";
     put_vote(*keeping, later);
     EXPECT_TRUE(lasts(*keeping, later));
   }
@@ -65,8 +65,8 @@
   EXPECT_EQ(keeping->rules().held, write(later));
 }
 
-TEST(Keeping, AnUnreadStoreIsNotWrittenOver) {
-  Disk disk;
+TEST(FleetStorage, AnUnreadStoreIsNotWrittenOver) {
+  ControllerDisk disk;
   const drift::Version voted = version_of(5, "3"), approved = version_of(4, "2"), older = version_of(3, "2");
   Incarnation before = 0;
   {
@@ -87,11 +87,11 @@
     disk.fails = false;
     keeping->put(Store{"office", "1", std::nullopt});
     ASSERT_TRUE(until([&] {
-      static_cast<void>(keeping->became_durable(Time{}));
+      static_cast<void>(keeping->take_durable_incarnation(Time{}));
       keeping->put(Store{kIncarnationKey, std::to_string(keeping->incarnation()), std::nullopt});
       return disk.log().find("state=written_again") != std::string::npos;
     })) << disk.log();
-    ASSERT_TRUE(until([&] { return keeping->became_durable(Time{}).has_value(); }));
+    ASSERT_TRUE(until([&] { return keeping->take_durable_incarnation(Time{}).has_value(); }));
   }
   const auto keeping = disk.start();
   EXPECT_GT(keeping->incarnation(), before);
@@ -99,8 +99,8 @@
   EXPECT_EQ(keeping->rules().approved, write(approved));
 }
 
-TEST(Keeping, AnIncarnationThatTheFullQueueRefusedIsNotReportedAsKept) {
-  Disk disk;
+TEST(FleetStorage, AnIncarnationThatTheFullQueueRefusedIsNotReportedAsKept) {
+  ControllerDisk disk;
   const auto keeping = disk.start();
   disk.fails = true;
   int key = 0;
@@ -111,35 +111,36 @@
   }
   const Incarnation to = keeping->incarnation() + 100;
   keeping->put(Store{kIncarnationKey, std::to_string(to), std::nullopt});
-  EXPECT_FALSE(keeping->became_durable(Time{}));
+  EXPECT_FALSE(keeping->take_durable_incarnation(Time{}));
   disk.fails = false;
   std::optional<Incarnation> durable;
-  EXPECT_TRUE(until([&] { return (durable = keeping->became_durable(Time{})).has_value(); })) << disk.log();
+  EXPECT_TRUE(until([&] { return (durable = keeping->take_durable_incarnation(Time{})).has_value(); }))
+      << disk.log();
   EXPECT_EQ(durable, to);
   EXPECT_EQ(disk.log().find("durable=no incarnation=" + std::to_string(to)), std::string::npos) << disk.log();
 }
 
-TEST(Keeping, ADiskThatFailsForGoodHoldsNoIncarnationBackAndThatIsSaid) {
-  Disk disk;
+TEST(FleetStorage, ADiskThatFailsForGoodHoldsNoIncarnationBackAndThatIsSaid) {
+  ControllerDisk disk;
   const auto keeping = disk.start();
   disk.fails = true;
   const Incarnation to = keeping->incarnation() + 100;
   keeping->put(Store{kIncarnationKey, std::to_string(to), std::nullopt});
   put_vote(*keeping, version_of(5, "3"));
-  EXPECT_FALSE(keeping->became_durable(Time{}));
-  EXPECT_FALSE(keeping->became_durable(Time{} + kNotDurable - 1ms));
-  EXPECT_EQ(keeping->became_durable(Time{} + kNotDurable), to);
-  EXPECT_FALSE(keeping->became_durable(Time{} + 2 * kNotDurable));
+  EXPECT_FALSE(keeping->take_durable_incarnation(Time{}));
+  EXPECT_FALSE(keeping->take_durable_incarnation(Time{} + kMaxDurabilityWait - 1ms));
+  EXPECT_EQ(keeping->take_durable_incarnation(Time{} + kMaxDurabilityWait), to);
+  EXPECT_FALSE(keeping->take_durable_incarnation(Time{} + 2 * kMaxDurabilityWait));
   EXPECT_NE(disk.log().find("durable=no incarnation=" + std::to_string(to)), std::string::npos) << disk.log();
-  EXPECT_FALSE(keeping->vote_lasts());
+  EXPECT_FALSE(keeping->take_durable_vote());
   ASSERT_TRUE(until([&] { return keeping->counts().failing; }));
-  EXPECT_GE(keeping->look_again(), Duration(100ms)) << "it looks at a failing disk all the time";
+  EXPECT_GE(keeping->retry_interval(), Duration(100ms)) << "it looks at a failing disk all the time";
   disk.fails = false;
   EXPECT_TRUE(lasts(*keeping, version_of(5, "3")));
 }
 
-TEST(Keeping, AVoteOfAnEarlierLifeIsWrittenAgainWhereTheStoreIsSetAside) {
-  Disk disk;
+TEST(FleetStorage, AVoteOfAnEarlierLifeIsWrittenAgainWhereTheStoreIsSetAside) {
+  ControllerDisk disk;
   const drift::Version voted = version_of(5, "3");
   {
     const auto keeping = disk.start();
--- a/tests/fleet/kept_stage_test.cpp
+++ b/tests/fleet/kept_stage_test.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-TEST(Keeping, AStageStoredByOneRunHasAKnownAgeInTheNext) {
-  Disk disk;
+TEST(FleetStorage, AStageStoredByOneRunHasAKnownAgeInTheNext) {
+  ControllerDisk disk;
   const clocks::BootTime before = base::boot_now();
   {
     const auto keeping = disk.start();
@@ -32,8 +32,8 @@
 class StoredStage : public ::testing::TestWithParam<std::chrono::seconds> {
  protected:
   [[nodiscard]] std::optional<Duration> age(const clocks::BootTime& written) const {
-    Disk disk;
-    disk.leave_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
+    ControllerDisk disk;
+    disk.write_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
                      base::wall_now() - kAge - GetParam(), written);
     const auto keeping = disk.start();
     EXPECT_TRUE(keeping->kept());
--- a/tests/fleet/link_codec_fuzz.cpp
+++ b/tests/fleet/link_codec_fuzz.cpp
@@ -28,11 +28,11 @@
   using namespace reeltack::fleet;
   if (size == 0) return 0;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  if ((data[0] & 1U) == 0 && link::is_news(bytes))
-    there_and_back(bytes, 0, link::decode_news);
+  if ((data[0] & 1U) == 0 && link::is_push(bytes))
+    there_and_back(bytes, 0, link::decode_push);
   else if ((data[0] & 1U) == 0)
     there_and_back(bytes, 0, link::decode_message);
   else
-    there_and_back(bytes, link::kLength, link::decode_exchange);
+    there_and_back(bytes, link::kFrameLengthBytes, link::decode_exchange);
   return 0;
 }
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t kSeed = 20261202;
 
-std::string body(const Exchange& e) { return encode(e).substr(kLength); }
+std::string body(const Exchange& e) { return encode(e).substr(kFrameLengthBytes); }
 template <class Try>
 std::string error_of(Try attempt) {
   try {
@@ -34,17 +34,17 @@
     const std::string bytes = encode(message);
     EXPECT_EQ(bytes.size(), wire_size(message));
     same(message, decode_message(bytes));
-    EXPECT_FALSE(is_news(bytes));
+    EXPECT_FALSE(is_push(bytes));
     const news::Message news = random.push();
     const std::string told = encode(news);
     EXPECT_EQ(told.size(), wire_size(news));
-    EXPECT_TRUE(is_news(told));
-    same(news, decode_news(told));
+    EXPECT_TRUE(is_push(told));
+    same(news, decode_push(told));
     const Exchange exchange = random.exchange();
     const std::string frame = encode(exchange);
     EXPECT_EQ(frame.size(), wire_size(exchange));
-    ASSERT_EQ(frame_length(frame), frame.size() - kLength);
-    same(exchange, decode_exchange(frame.substr(kLength)));
+    ASSERT_EQ(frame_length(frame), frame.size() - kFrameLengthBytes);
+    same(exchange, decode_exchange(frame.substr(kFrameLengthBytes)));
     ASSERT_FALSE(HasFailure()) << "message " << i << " of seed " << kSeed;
   }
 }
@@ -64,7 +64,7 @@
     for (const facts::OwnerDelta& of : exchange.delta.owners) parts += of.facts.size();
     const std::size_t estimate =
         facts::encoded(exchange.summary) + facts::encoded(exchange.digest) + facts::encoded(exchange.delta);
-    EXPECT_LE(wire_size(exchange), kMostHead + estimate + kMostAPart * parts) << "exchange " << i;
+    EXPECT_LE(wire_size(exchange), kMostHead + estimate + kPartOverheadBytes * parts) << "exchange " << i;
     ASSERT_FALSE(HasFailure()) << "seed " << kSeed;
   }
 }
@@ -80,7 +80,7 @@
       const auto attempt = [&](const std::string& b) {
         return error_of([&] {
           (void)(bytes == frame  ? encode(decode_exchange(b))
-                 : bytes == news ? encode(decode_news(b))
+                 : bytes == news ? encode(decode_push(b))
                                  : encode(decode_message(b)));
         });
       };
@@ -115,7 +115,7 @@
   const std::string told = encode(news);
   EXPECT_EQ(error_of([&] { (void)decode_message(told); }).substr(0, 26), "message: unknown fields of");
   const auto of_news = [&](const std::string& more) {
-    return error_of([&] { (void)decode_news(told + more); });
+    return error_of([&] { (void)decode_push(told + more); });
   };
   EXPECT_EQ(of_news({"\xaa\x01\x00", 3}), "facts[1].owner: missing");
   EXPECT_EQ(of_news({"\x10\x00", 2}), "news: unknown fields of 2 bytes");
@@ -199,7 +199,7 @@
     EXPECT_TRUE(read.updates.empty());
     news::Message news = random.push();
     news.envelope.version = version;
-    EXPECT_TRUE(decode_news(encode(news) + std::string("\x78\x01", 2)).facts.empty());
+    EXPECT_TRUE(decode_push(encode(news) + std::string("\x78\x01", 2)).facts.empty());
     Exchange e = random.exchange();
     e.envelope.version = version;
     const Exchange other = decode_exchange(body(e) + std::string("\x78\x01", 2));
--- a/tests/fleet/link_peer_test.cpp
+++ b/tests/fleet/link_peer_test.cpp
@@ -6,22 +6,22 @@
 namespace reeltack::fleet::link {
 namespace {
 
-void quick(LinkSettings& s) { s.dial_most = s.silent_most = 200ms; }
+void quick(LinkSettings& s) { s.dial_timeout = s.idle_timeout = 200ms; }
 
 TEST(LinkPeer, NobodyAnswersADialOrTheConnection) {
   Node a(1, quick);
   a.script.act(*a.link, {Dial{ConnectionId{2}, own(9), MemberId{9}}});  // refused
   ASSERT_TRUE(a.script.wait<Closed>());
   // Two hold all places of this listener: what else is dialled there is neither taken nor refused.
-  const Raw full(SOCK_STREAM, 3);
+  const RawSocket full(SOCK_STREAM, 3);
   const Endpoint at = full.listen(0);
-  const Raw first(SOCK_STREAM, 4);
+  const RawSocket first(SOCK_STREAM, 4);
   ASSERT_TRUE(first.connect(at));
   a.script.act(*a.link, {Dial{ConnectionId{4}, at, MemberId{3}}});
   ASSERT_TRUE(a.script.wait<Closed>(2));
   EXPECT_EQ(a.script.count<Opened>(), 0U);
   // Half-open: the kernel takes it, nobody ever speaks.
-  const Raw silent(SOCK_STREAM, 5);
+  const RawSocket silent(SOCK_STREAM, 5);
   a.script.act(*a.link, {Dial{ConnectionId{6}, silent.listen(8), MemberId{5}}});
   ASSERT_TRUE(a.script.wait<Opened>() && a.script.wait<Closed>(3));
   EXPECT_EQ(a.script.get<Closed>(2).id, ConnectionId{6});
@@ -29,12 +29,12 @@
 
 TEST(LinkPeer, AFrameTooLongAndOneTooSlow) {
   Node a(1, quick);
-  const Raw large(SOCK_STREAM, 2);
+  const RawSocket large(SOCK_STREAM, 2);
   ASSERT_TRUE(large.connect(own(1)) && large.send("\x7f\xff\xff\xff"));
   EXPECT_TRUE(large.closed());
   ASSERT_TRUE(a.script.wait<Malformed>() && a.script.wait<Closed>());
   // A byte now and then is no sign of life; a whole frame is.
-  const Raw slow(SOCK_STREAM, 3);
+  const RawSocket slow(SOCK_STREAM, 3);
   ASSERT_TRUE(slow.connect(own(1)));
   const std::string frame = encode(summary(3));
   EXPECT_TRUE(slow.send(frame));
@@ -48,21 +48,21 @@
 
 TEST(LinkPeer, OneThatSpeaksWithoutEnd) {
   Node a(1);
-  const Raw peer(SOCK_STREAM, 2);
+  const RawSocket peer(SOCK_STREAM, 2);
   ASSERT_TRUE(peer.connect(own(1)));
   const std::string frame = encode(summary(2));
-  for (std::size_t i = 0; i <= a.settings.most_frames; ++i) (void)peer.send(frame);
+  for (std::size_t i = 0; i <= a.settings.max_frames; ++i) (void)peer.send(frame);
   EXPECT_TRUE(peer.closed());
   ASSERT_TRUE(a.script.wait<Closed>());
-  EXPECT_EQ(a.script.count<ExchangeReceived>(), a.settings.most_frames);
+  EXPECT_EQ(a.script.count<ExchangeReceived>(), a.settings.max_frames);
 }
 
 TEST(LinkPeer, OneThatReadsNothing) {
-  Node a(1, [](LinkSettings& s) { s.silent_most = 60s; });
+  Node a(1, [](LinkSettings& s) { s.idle_timeout = 60s; });
   Node b(2, {}, [](const CoordinatorEvent& event, CoordinatorActions& actions) {
     if (const auto* up = std::get_if<Opened>(&event)) actions.push_back(SendExchange{up->id, summary(2)});
   });
-  const Raw deaf(SOCK_STREAM, 3);
+  const RawSocket deaf(SOCK_STREAM, 3);
   ASSERT_TRUE(deaf.connect(own(1)));
   ASSERT_TRUE(a.script.wait<Accepted>());
   const Exchange words = large(1);
@@ -77,7 +77,7 @@
   const LinkFigures f = a.link->figures();
   EXPECT_EQ(f.overflowed, 1U);
   // All that the bound has room for, the one beyond it, and what was said before its end was heard of.
-  const std::uint64_t held = f.exchange_frames_out + a.settings.most_queued / encode(words).size() + 1;
+  const std::uint64_t held = f.exchange_frames_out + a.settings.max_queued_bytes / encode(words).size() + 1;
   EXPECT_GE(said, held);
   EXPECT_LE(said, held + 16);
   b.script.act(*b.link, {Dial{ConnectionId{2}, own(1), MemberId{1}}});
@@ -85,8 +85,8 @@
 }
 
 TEST(LinkPeer, OnlySoManyAreTakenInAndSomeRoomIsKeptForOnesOwn) {
-  Node a(1, [](LinkSettings&s) { s.silent_most = 60s; }), b(2);
-  std::vector<Raw> taken;
+  Node a(1, [](LinkSettings&s) { s.idle_timeout = 60s; }), b(2);
+  std::vector<RawSocket> taken;
   const auto come = [&taken](unsigned from) {
     taken.emplace_back(SOCK_STREAM, from);
     EXPECT_TRUE(taken.back().connect(own(1)));
@@ -94,13 +94,13 @@
   for (int i = 0; i < 4; ++i) come(10);
   ASSERT_TRUE(a.script.wait<Accepted>(4));
   {
-    const Raw fifth(SOCK_STREAM, 10);
+    const RawSocket fifth(SOCK_STREAM, 10);
     ASSERT_TRUE(fifth.connect(own(1)));
     EXPECT_TRUE(fifth.closed()) << "the fifth of one address";
   }
   for (unsigned i = 0; i < 20; ++i) come(11 + i / 4);
   ASSERT_TRUE(a.script.wait<Accepted>(24));
-  const Raw more(SOCK_STREAM, 20);
+  const RawSocket more(SOCK_STREAM, 20);
   ASSERT_TRUE(more.connect(own(1)));
   EXPECT_TRUE(more.closed()) << "the 25th of all";
   EXPECT_EQ(a.link->figures().refused, 2U);
@@ -129,7 +129,7 @@
   });
   std::atomic<bool> over = false;
   std::thread flood([&] {
-    const Raw peer(SOCK_DGRAM, 3);
+    const RawSocket peer(SOCK_DGRAM, 3);
     EXPECT_TRUE(peer.connect(own(1)));
     const std::string good = encode(ping(3, 1));
     while (!over) (void)(peer.send(good) && peer.send(good.substr(0, 9)));
@@ -146,7 +146,7 @@
   flood.join();
   a.link->stop();
   // Between two ticks no more than a few turns and what is read before the tick.
-  EXPECT_LE(most, 4 * a.settings.datagrams_a_turn + a.settings.datagrams_before_tick);
+  EXPECT_LE(most, 4 * a.settings.max_datagrams_per_read + a.settings.max_datagrams_before_tick);
 }
 
 }  // namespace
--- a/tests/fleet/link_rig.h
+++ b/tests/fleet/link_rig.h
@@ -51,7 +51,7 @@
 }
 
 // Notes every event, answers by `react`, and does what the test hands it.
-class Script : public Driver {
+class ScriptedDriver : public Driver {
  public:
   using React = std::function<void(const CoordinatorEvent&, CoordinatorActions&)>;
   React react;
@@ -119,30 +119,30 @@
 // A link with its script, started.
 struct Node {
   explicit Node(unsigned last, const std::function<void(LinkSettings&)>& change = {},
-                Script::React react = {}) {
+                ScriptedDriver::React react = {}) {
     settings.listen = own(last);
     if (change) change(settings);
     script.react = std::move(react);
-    link = std::make_unique<Link>(settings, script, Outward{});
+    link = std::make_unique<Link>(settings, script, LinkCallbacks{});
     link->start();
   }
   LinkSettings settings;
-  Script script;
+  ScriptedDriver script;
   std::unique_ptr<Link> link;
 };
 
 // A peer's bare socket; reads with a bound, so that no test hangs.
-class Raw {
+class RawSocket {
  public:
-  explicit Raw(int type, unsigned last) : fd_(::socket(AF_INET, type | SOCK_CLOEXEC, 0)) {
+  explicit RawSocket(int type, unsigned last) : fd_(::socket(AF_INET, type | SOCK_CLOEXEC, 0)) {
     const timeval most{20, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
     Endpoint at = own(last);
     at.port = 0;
     EXPECT_EQ(bind(at), 0);
   }
-  Raw(Raw&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  ~Raw() { ::close(fd_); }
+  RawSocket(RawSocket&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+  ~RawSocket() { ::close(fd_); }
   [[nodiscard]] int bind(Endpoint at) const {
     const sockaddr_in to = address(at);
     return ::bind(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to);
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -73,7 +73,7 @@
     if (frozen && ticks++ == 0) before_tick = seen;
     changed.notify_all();
   };
-  const Raw peer(SOCK_DGRAM, 2);
+  const RawSocket peer(SOCK_DGRAM, 2);
   ASSERT_TRUE(peer.connect(own(1)));
   std::unique_lock lock(mutex);
   a.script.every = 1'000'000;
@@ -97,7 +97,7 @@
       Node a(1, {}, answer);
       a.script.last = {SendMembership{own(2), MemberId{2}, ping(1, 1000)}};
       std::thread load([&] {
-        const Raw peer(SOCK_DGRAM, 3);
+        const RawSocket peer(SOCK_DGRAM, 3);
         EXPECT_TRUE(peer.connect(own(1)));
         while (!over) (void)peer.send(encode(ping(3, 1)));
       });
@@ -156,9 +156,9 @@
     a.link->from_core(recovery::OfficeLoad{});
   }
   EXPECT_TRUE(stands) << "the link is not stuck: this tests nothing";
-  EXPECT_EQ(a.link->figures().core_dropped, 100'000 - a.settings.most_from_core);
+  EXPECT_EQ(a.link->figures().core_dropped, 100'000 - a.settings.max_core_events);
   free.set_value();
-  ASSERT_TRUE(a.script.wait<CoreEvent>(a.settings.most_from_core));
+  ASSERT_TRUE(a.script.wait<CoreEvent>(a.settings.max_core_events));
   for (int n = 1; n <= 2; ++n) {
     std::this_thread::sleep_for(20ms);  // so that the link has nothing else to do by which it would look
     a.script.every = 1;                 // due, and its timer does not know it
--- a/tests/fleet/power.cpp
+++ b/tests/fleet/power.cpp
@@ -67,7 +67,7 @@
   }
   std::vector<std::future<Time>> up;
   for (const std::size_t i : started)
-    up.push_back(std::async(std::launch::async, [this, i] { return rig.ready_at(i, 20s); }));
+    up.push_back(std::async(std::launch::async, [this, i] { return rig.ready_time_of(i, 20s); }));
   for (std::size_t n = 0; n < started.size(); ++n) members_[started[n]].ready = up[n].get();
   for (const std::size_t i : started) rig.pack().await_ready(i);
   ready = base::now();
@@ -145,7 +145,7 @@
 
 std::unique_ptr<load::Played> Power::end_load() {
   load_running_ = false;
-  rig.stop_playing();
+  rig.stop_load();
   return rig.played();
 }
 
@@ -193,7 +193,7 @@
 void Power::judge_rules(const load::Played& played) {
   const std::uint32_t drained = kDrained + 1;
   const std::uint32_t gone = kGone + 1;
-  const Dealt dealt = deal(rig.offices().take_log(), played.tries, members_.size());
+  const EventsByController dealt = split_events(rig.offices().take_log(), played.tries, members_.size());
   EXPECT_TRUE(dealt.nobody.empty()) << dealt.nobody.size();
   Duration latest = Duration::min();
   std::size_t max_changes = 0;
@@ -228,7 +228,7 @@
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (!members_[i].ready) continue;
     ++returned_count;
-    const First first = first_of(played.tries, i, kUrgent, *members_[i].launched);
+    const First first = first_results_of(played.tries, i, kUrgent, *members_[i].launched);
     if (!first.came) continue;  // it received no urgent call
     ASSERT_TRUE(first.stood) << Rig::name(i) << " served no urgent call";
     // It can serve none before it is ready, nor before one has arrived.
--- a/tests/fleet/power_lists_test.cpp
+++ b/tests/fleet/power_lists_test.cpp
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < 6; ++i) {
       std::map<std::uint32_t, std::size_t> times;
       for (const VerdictLine& l : verdicts(rig.pack().member(i).log().substr(log_offsets[i]))) {
-        if (l.was.empty() || (l.verdict == l.was && !l.other_life)) continue;
+        if (l.was.empty() || (l.verdict == l.was && !l.other_run)) continue;
         ++all;
         EXPECT_EQ(++times[l.office], 1U) << Rig::name(i) << " on office " << l.office << "\n"
                                          << rig.pack().member(i).log().substr(log_offsets[i]);
@@ -98,11 +98,11 @@
   // The left list had no 7, the right list no 5 and 6 elsewhere: one or two verdicts change at each
   // controller, depending on which list won.
   EXPECT_EQ(sides.changed_once(), left_wins ? 6U : 12U) << sides.logs();
-  rig.stop_playing();
+  rig.stop_load();
   const auto played = rig.played();
   EXPECT_EQ(played->recorder.violations().total(), 0U)
       << ::testing::PrintToString(played->recorder.violations().samples);
-  const Dealt dealt = deal(rig.offices().take_log(), played->tries, 6);
+  const EventsByController dealt = split_events(rig.offices().take_log(), played->tries, 6);
   for (std::size_t i = 0; i < 6; ++i) {
     EXPECT_EQ(offices_used(dealt.of[i], agreed + kSlack, before_third), expected) << Rig::name(i);
     const auto found = rules_of(dealt.of[i], {});
@@ -143,9 +143,9 @@
   EXPECT_TRUE(rig.until(10s, [&] { return rig.all("list_wins", rig.figure(0, "list_digest")); }));
   EXPECT_TRUE(sides.counts(0, 8, 1, 5s) && sides.counts(3, 8, 1, 5s)) << sides.logs();
   ::usleep(2'000'000);
-  rig.stop_playing();
+  rig.stop_load();
   const auto played = rig.played();
-  const Dealt dealt = deal(rig.offices().take_log(), played->tries, 6);
+  const EventsByController dealt = split_events(rig.offices().take_log(), played->tries, 6);
   for (std::size_t i = 0; i < 6; ++i) {
     EXPECT_EQ(offices_used(dealt.of[i], barred + kSlack), (Offices{1, 2, 3, 4, 5, 6, 7, 8})) << Rig::name(i);
     EXPECT_EQ(rules_of(dealt.of[i], {}).total(), 0U) << Rig::name(i);
--- a/tests/fleet/return_world.h
+++ b/tests/fleet/return_world.h
@@ -33,7 +33,7 @@
  private:
   struct Gateway {
     std::unique_ptr<Controller> module;  // none: without power, takes no calls
-    TermsApplied applied_terms;
+    TermsTranslator applied_terms;
     std::map<ServerId, Endpoint> addresses;
     std::uint64_t lifetime = 0;
     bool list_received = false;  // since its start
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -52,7 +52,7 @@
   }
 }
 
-Time Rig::ready_at(std::size_t i, Duration most) const {
+Time Rig::ready_time_of(std::size_t i, Duration most) const {
   for (const Time by = base::now() + most; base::now() < by; std::this_thread::sleep_for(2ms)) {
     try {
       if (mgmt::ask(mgmt(i), "READY", by).ok) break;
@@ -94,7 +94,7 @@
   if (settings_.fleet && i + settings_.alone < settings_.controllers) out.fleet = yaml(i);
   out.sip = sip(i);
   out.mgmt = base::to_text(mgmt(i));
-  if (settings_.know_list) {
+  if (settings_.offices_known) {
     const bool second = settings_.two_lists && i >= settings_.controllers / 2;
     out.bulletin = base::to_text(between_->relay(name(i), second ? "bulletin2" : "bulletin"));
     out.known = offices_->known_json();
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -31,9 +31,9 @@
   std::size_t controllers = 12;
   std::size_t alone = 0;  // the last so many of them, as without the section
   std::size_t offices = 8;
-  bool fleet = true;      // false: each alone, as without the section
-  bool store = true;      // with the fleet: what is kept
-  bool know_list = true;  // false: started with an empty list, and no bulletin tells it
+  bool fleet = true;          // false: each alone, as without the section
+  bool store = true;          // with the fleet: what is kept
+  bool offices_known = true;  // false: started with an empty list, and no bulletin tells it
   // Two bulletins told by hand (lists()), the second followed by the later half; the offices' own tells
   // nobody.
   bool two_lists = false;
@@ -74,7 +74,7 @@
   // proxy.fleet_NAME of a controller's figures; -1: not told, or it does not answer.
   [[nodiscard]] std::int64_t figure(std::size_t i, const std::string& name) const;
   // When it answered READY for the first time; it has been launched. Several may be awaited side by side.
-  [[nodiscard]] Time ready_at(std::size_t i, Duration most) const;
+  [[nodiscard]] Time ready_time_of(std::size_t i, Duration most) const;
   [[nodiscard]] std::int64_t list_number() const;  // of the bulletin's newest event
   // Waits until what `holds` says is so for every controller that is up; false: not within `most`.
   template <typename Holds>
@@ -112,9 +112,7 @@
       return load::play(scenario(), options);
     });
   }
-  void stop_playing() {
-    stop_ = true;
-  }  // early; what waits is awaited for no longer than one scenario's settle
+  void stop_load() { stop_ = true; }  // early; what waits is awaited for no longer than one scenario's settle
   std::unique_ptr<load::Played> played() { return playing_.get(); }
   [[nodiscard]] load::Scenario scenario() const;
 
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -22,7 +22,7 @@
 }
 
 struct Reader {  // on the link's thread
-  Sightings sightings{MemberId{7}};
+  OfficeObservations sightings{MemberId{7}};
   std::map<ServerId, recovery::OfficeLoad> sum;
   std::map<ServerId, std::vector<OfficeState>> states;
   std::map<ServerId, double> carried;
@@ -54,7 +54,7 @@
 
 // Compared with expected counting at random paces: the reader collects only when next() says so, and by then
 // every outcome is reported.
-TEST(Sightings, AreCompleteAndReportedInTime) {
+TEST(OfficeObservations, AreCompleteAndReportedInTime) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -117,7 +117,7 @@
   }
 }
 
-TEST(Sightings, AThousandCallsPerSecondAreReportedOncePerSecond) {
+TEST(OfficeObservations, AThousandCallsPerSecondAreReportedOncePerSecond) {
   Reader reader;
   reader.sightings.name(office(1));
   const Time begin{1h};
@@ -135,7 +135,7 @@
   EXPECT_EQ(reader.carried[ServerId{1}], 0.0) << "the office no longer carries calls";
 }
 
-TEST(Sightings, ObservationsOfAnEarlierInstanceAreNotReportedForThisOne) {
+TEST(OfficeObservations, ObservationsOfAnEarlierInstanceAreNotReportedForThisOne) {
   Reader reader;
   const Time now{1h};
   (void)reader.sightings.saw(now, ServerId{1}, OfficeObservation::answered);
@@ -153,7 +153,7 @@
 }
 
 // Two threads, as in production, and more offices than there are slots.
-TEST(Sightings, TheCoreCountsWhileTheLinkCollects) {
+TEST(OfficeObservations, TheCoreCountsWhileTheLinkCollects) {
   constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
   Reader reader;
   for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.name(office(id));
--- a/tests/fleet/stores_failing_test.cpp
+++ b/tests/fleet/stores_failing_test.cpp
@@ -9,7 +9,7 @@
 namespace reeltack::rig {
 namespace {
 
-std::int64_t begun_with(const std::string& log) {  // the incarnation of the last start
+std::int64_t initial_incarnation(const std::string& log) {  // the incarnation of the last start
   const std::string words = " incarnation=";
   const std::size_t line = log.rfind("fleet store dir=");
   const std::size_t at = line == std::string::npos ? line : log.find(words, line);
@@ -61,7 +61,7 @@
   disk.works();
   ASSERT_TRUE(disk.says("fleet store state=written_again lasted_ms=")) << disk.log();
   EXPECT_EQ(times(disk.log(), "state=failing"), 1U) << disk.log();
-  const std::int64_t first = begun_with(disk.log());
+  const std::int64_t first = initial_incarnation(disk.log());
 
   // At a start: it comes to full without its store, and reads and writes it as soon as it can.
   rig.pack().kill(0);
@@ -80,10 +80,10 @@
   rig.pack().kill(0);
   rig.pack().set_clock_offset(0, -24h);
   rig.pack().start(0);
-  EXPECT_GT(begun_with(disk.log()), told) << disk.log();
+  EXPECT_GT(initial_incarnation(disk.log()), told) << disk.log();
   EXPECT_TRUE(whole(rig, 3)) << disk.log();
   EXPECT_EQ(times(disk.log(), "how=set_aside"), 0U) << disk.log();
-  rig.stop_playing();
+  rig.stop_load();
   const auto played = rig.played();
   EXPECT_EQ(played->recorder.violations().total(), 0U);
   EXPECT_EQ(played->recorder.all().results[static_cast<std::size_t>(load::Result::unanswered)], 0U);
--- a/tests/fleet/stores_kills_test.cpp
+++ b/tests/fleet/stores_kills_test.cpp
@@ -15,7 +15,7 @@
 void hold_clock_back(Rig& rig) { rig.pack().set_clock_offset(0, -24h); }
 
 // What n0 said at its last start: the incarnation it begins with, before any peer was heard.
-std::int64_t begun_with(Rig& rig, std::size_t from = 0) {
+std::int64_t initial_incarnation(Rig& rig, std::size_t from = 0) {
   const std::string log = rig.pack().member(0).log();
   const std::string words = " incarnation=";
   const std::size_t line = log.rfind("fleet store dir=");
@@ -34,10 +34,10 @@
   for (std::size_t round = 1; round <= kKills; ++round) {
     // From the first writes of its start to those of its stages, members and offices.
     ::usleep(static_cast<useconds_t>((round * 7919) % 12 * 60'000));
-    const std::int64_t before = std::max(begun_with(rig), rig.figure(0, "incarnation"));
+    const std::int64_t before = std::max(initial_incarnation(rig), rig.figure(0, "incarnation"));
     rig.pack().kill(0);
     rig.pack().start(0);
-    EXPECT_GT(begun_with(rig), before) << round;
+    EXPECT_GT(initial_incarnation(rig), before) << round;
     const std::string log = rig.pack().member(0).log();
     ASSERT_EQ(times(log, "how=fresh"), 1U) << log;
     ASSERT_EQ(times(log, "how=opened"), round) << log;
@@ -74,7 +74,7 @@
     const Time end = base::now() + 1200ms;  // the table of members and the stage are written within a second
     meets([&] { return base::now() > end; });
     // Its turn begins once the incarnation is durable: from then on others may have heard of it.
-    if (times(words(), "from=dark") > 0) told_ = std::max(told_, begun_with(rig, from_));
+    if (times(words(), "from=dark") > 0) told_ = std::max(told_, initial_incarnation(rig, from_));
     return died_;
   }
   void play() {  // on the others alone
@@ -83,7 +83,7 @@
   }
   std::unique_ptr<load::Played> played() {
     playing_ = false;
-    rig.stop_playing();
+    rig.stop_load();
     return rig.played();
   }
   void empties() {  // and with it what it has ever told
@@ -94,7 +94,7 @@
     const std::string left = words();
     from_ = log().size();
     rig.pack().start(0);
-    EXPECT_GT(begun_with(rig, from_), told_) << k << "\n" << left;
+    EXPECT_GT(initial_incarnation(rig, from_), told_) << k << "\n" << left;
     EXPECT_TRUE(rig.until(20s, [&] { return rig.figure(0, "stage") == 5; })) << k << "\n" << words();
     look();
     EXPECT_EQ(times(words(), "how=opened") + times(words(), "how=fresh records=0"), 1U) << words();
@@ -128,7 +128,7 @@
                          "n0",
                          "z0",
                          {}});
-    const fleet::link::Raw udp(SOCK_DGRAM, 9);
+    const fleet::link::RawSocket udp(SOCK_DGRAM, 9);
     EXPECT_TRUE(udp.connect(link_of(rig, 0)) && udp.send(fleet::link::encode(m)));
   }
   std::size_t from_ = 0;
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/turn_world.cpp
@@ -85,7 +85,7 @@
                                     self_of(nodes.size() - 1, 1).at};
   n.coordinator = std::make_unique<Coordinator>(settings_.coordinator, self, seeds,
                                                 settings_.seed * 7919 + i * 31 + n.lifetime);
-  n.sightings = std::make_unique<Sightings>(self.id);
+  n.sightings = std::make_unique<OfficeObservations>(self.id);
   CoordinatorActions actions;
   n.coordinator->begin(now_, recovery::read_stored_state(records, false), remembered, actions);
   carry_out(i, actions);
--- a/tests/fleet/turn_world.h
+++ b/tests/fleet/turn_world.h
@@ -59,7 +59,7 @@
   using Record = std::pair<std::string, Time>;
   struct Node {
     std::unique_ptr<Coordinator> coordinator;  // none: without power
-    std::unique_ptr<Sightings> sightings;
+    std::unique_ptr<OfficeObservations> sightings;
     std::map<std::string, Record> store;
     std::optional<recovery::Terms> terms;
     std::map<ServerId, std::pair<Time, std::uint64_t>>
--- a/tests/system_calls/fleet_link_test.cpp
+++ b/tests/system_calls/fleet_link_test.cpp
@@ -24,12 +24,12 @@
   // `patient`: nothing is said again, and no connection ends for its silence.
   Member(unsigned last, unsigned other, bool patient) : last_(last), other_(other), patient_(patient) {
     settings_.listen = own(last);
-    settings_.silent_most = patient ? Duration(kWait) : Duration(3 * kAgain);
+    settings_.idle_timeout = patient ? Duration(kWait) : Duration(3 * kAgain);
     script_.every = 10'000'000;
     script_.react = [this](const CoordinatorEvent& event, CoordinatorActions& actions) {
       react(event, actions);
     };
-    link_ = std::make_unique<Link>(settings_, script_, Outward{});
+    link_ = std::make_unique<Link>(settings_, script_, LinkCallbacks{});
   }
   void start() const { link_->start(); }
   void stop() { link_->stop(); }
@@ -100,7 +100,7 @@
   const unsigned last_, other_;
   const bool patient_;
   LinkSettings settings_;
-  Script script_;
+  ScriptedDriver script_;
   std::uint64_t next_ = 0;
   std::mutex lock_;
   std::map<std::uint64_t, int> heard_;
