--- a/bench/fleet_cost_calls.cpp
+++ b/bench/fleet_cost_calls.cpp
@@ -163,7 +163,7 @@
 void calls() {
   rig::RigSettings settings;
   settings.controllers = kFleet + 2;
-  settings.alone = 2;
+  settings.without_fleet = 2;
   settings.processor = "{set_up: 1us, answer: 1us, release: 1us, refuse: 1us, repeat: 1us}";
   settings.ramp = 1s;
   if (const char* other = std::getenv("FLEET_COST_BINARY")) settings.binary = other;
--- a/bench/fleet_return.cpp
+++ b/bench/fleet_return.cpp
@@ -32,7 +32,7 @@
   settings.fleet = which == Play::fleet;
   settings.seed = seed;
   settings.rate = rate;
-  settings.lasts = 30s;
+  settings.load_duration = 30s;
   settings.processor =
       "{set_up: 8ms, answer: 4ms, release: 4ms, refuse: 2ms, repeat: 2ms, cold_from: 0.33, ramp: 15s, "
       "fall_multiple: 2}";
@@ -43,7 +43,7 @@
     throw std::runtime_error("the fleet does not come into service");
   rig.warm(5s);
   rig.pack().kill_all_at_once();
-  if (which != Play::list_known) rig.discovery(false);
+  if (which != Play::list_known) rig.set_discovery_reachable(false);
   using Kind = standin::Trouble::Kind;
   rig.offices().befall({Kind::restart, {}, {4}, 900ms, 1.0});
   rig.offices().befall({Kind::die, {}, {5}, {}, 1.0});
@@ -53,7 +53,7 @@
   rig.play();
   if (which != Play::list_known) {
     ::usleep(20'000'000);
-    rig.discovery(true);
+    rig.set_discovery_reachable(true);
   }
   const auto played = rig.played();
   const load::Tally& all = played->recorder.all();
--- a/src/fleet/link/link.cpp
+++ b/src/fleet/link/link.cpp
@@ -75,14 +75,15 @@
   void from_core(recovery::Event event) {
     if (queue_.push(std::move(event))) asio::post(io_, [this] { take_from_core(); });
   }
-  void hurry() {
-    if (hurried_.exchange(true)) return;
+  void reschedule() {
+    if (reschedule_posted_.exchange(true)) return;
     asio::post(io_, [this] {
-      hurried_ = false;  // before next() is asked: whoever hurries from here on is heard by a further turn
+      reschedule_posted_ =
+          false;  // before next() is asked: whoever hurries from here on is heard by a further turn
       arm();
     });
   }
-  void kept(Incarnation to) {
+  void incarnation_persisted(Incarnation to) {
     asio::post(io_, [this, to] { tell(IncarnationPersisted{to}); });
   }
   [[nodiscard]] LinkFigures figures() const {
@@ -218,7 +219,7 @@
   CoreQueue queue_;
   std::deque<CoordinatorEvent> pending_;
   Time armed_ = Time::min();  // what the timer waits for
-  std::atomic<bool> hurried_{false};
+  std::atomic<bool> reschedule_posted_{false};
   bool busy_ = false, leaving_ = false, started_ = false, stopped_ = false;
   base::Thread thread_;
 };
@@ -229,8 +230,8 @@
 void Link::start() { impl_->start(); }
 void Link::stop() { impl_->stop(); }
 void Link::from_core(recovery::Event event) { impl_->from_core(std::move(event)); }
-void Link::hurry() { impl_->hurry(); }
-void Link::kept(Incarnation to) { impl_->kept(to); }
+void Link::reschedule() { impl_->reschedule(); }
+void Link::incarnation_persisted(Incarnation to) { impl_->incarnation_persisted(to); }
 LinkFigures Link::figures() const { return impl_->figures(); }
 
 }  // namespace reeltack::fleet::link
--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -15,9 +15,9 @@
 // then closed).
 //
 // Threads: the constructor starts nothing. start() and stop() by one thread, not the link's own; from_core(),
-// hurry(), kept() and figures() by any. Driver and callbacks are called on the link's thread alone and must
-// not block. Errors: LinkError of start(), which names the address. What a driver throws ends the link: it is
-// logged as `fleet_link_failed`, figures say so, and the rest of the process goes on without a fleet.
+// reschedule(), kept() and figures() by any. Driver and callbacks are called on the link's thread alone and
+// must not block. Errors: LinkError of start(), which names the address. What a driver throws ends the link:
+// it is logged as `fleet_link_failed`, figures say so, and the rest of the process goes on without a fleet.
 #pragma once
 
 #include <cstddef>
@@ -98,8 +98,8 @@
   // at most; then the thread is joined and the sockets are closed.
   void stop();
   void from_core(recovery::Event event);  // never blocks; what finds the queue full is dropped and counted
-  void hurry();                           // the driver's next() may be earlier now; never blocks
-  void kept(Incarnation to);              // the store holds it
+  void reschedule();                      // the driver's next() may be earlier now; never blocks
+  void incarnation_persisted(Incarnation to);  // the store holds it
   [[nodiscard]] LinkFigures figures() const;
 
  private:
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -32,8 +32,8 @@
   FleetStorage(const config::Controllers& settings, const std::string& owner, Say say);
 
   [[nodiscard]] Incarnation incarnation() const { return incarnation_; }  // of this start; kept already
-  [[nodiscard]] const std::optional<recovery::PersistedState>& kept() const { return kept_; }
-  [[nodiscard]] const std::vector<members::Update>& remembered() const { return members_; }
+  [[nodiscard]] const std::optional<recovery::PersistedState>& persisted_state() const { return kept_; }
+  [[nodiscard]] const std::vector<members::Update>& known_members() const { return members_; }
   // Of this controller's own disk; a copied one has another's vote.
   [[nodiscard]] const drift::Restored& rules() const { return rules_; }
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -63,7 +63,7 @@
 
   // ---- the link's driver, on its thread
   void begin(Time now, CoordinatorActions& actions) override {
-    turn_.begin(now, keeping_.kept(), keeping_.remembered(), actions);
+    turn_.begin(now, keeping_.persisted_state(), keeping_.known_members(), actions);
     turn_.on(now, DriftEvent{keeping_.rules()}, actions);
     reading_.offer(read_file());
     read_rules(now, actions);
@@ -72,7 +72,7 @@
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) override {
     if (const auto* core = std::get_if<CoreEvent>(&event))
       if (const auto* heard = std::get_if<recovery::ListReceived>(&core->event))
-        for (const recovery::Evidence& e : heard->offices) sightings_.name(e.office);
+        for (const recovery::Evidence& e : heard->offices) sightings_.track(e.office);
     turn_.on(now, event, actions);
   }
   void tick(Time now, CoordinatorActions& actions) override {
@@ -96,7 +96,7 @@
 
   // ---- from others
   void saw(ServerId office, OfficeObserver::OfficeObservation what) {
-    if (sightings_.saw(base::now(), office, what)) link_.hurry();
+    if (sightings_.saw(base::now(), office, what)) link_.reschedule();
   }
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
     recovery::ListReceived heard;
@@ -129,7 +129,7 @@
   void start() { link_.start(); }
   void reload() {
     reading_.offer(read_file());
-    link_.hurry();
+    link_.reschedule();
   }
   void stop() {
     link_.stop();
@@ -140,8 +140,8 @@
 
  private:
   void apply(const recovery::Terms& terms) {
-    for (const recovery::Terms::Line& line : terms.offices) sightings_.name(line.office);
-    TermsTranslator::Told told = applied_.take(terms);
+    for (const recovery::Terms::Line& line : terms.offices) sightings_.track(line.office);
+    TermsTranslator::Changes told = applied_.take(terms);
     if (!told.offices.empty()) list_.settled(std::move(told.offices));
     if (told.module) core_.terms(std::move(*told.module));
     shown_.settled = true;
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/sightings.cpp
@@ -55,7 +55,7 @@
   return true;
 }
 
-void OfficeObservations::name(const recovery::Office& office) {
+void OfficeObservations::track(const recovery::Office& office) {
   if (sums_.is_tracked(office)) return;
   counters_.read(totals_);
   const auto found = std::find_if(totals_.begin(), totals_.end(),
--- a/src/fleet/service/sightings.h
+++ b/src/fleet/service/sightings.h
@@ -25,7 +25,7 @@
   explicit OfficeObservations(MemberId self) : sums_(self) {}
   bool saw(Time now, ServerId id,
            core::OfficeObserver::OfficeObservation what);  // true: collect() is due at once
-  void name(const recovery::Office& office);               // what is seen from now on is of this life of it
+  void track(const recovery::Office& office);              // what is seen from now on is of this life of it
   void collect(Time now, std::vector<recovery::Event>& out);
   [[nodiscard]] Time next(bool opens) const;  // when collect() is due, while service opens or is full
 
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-TermsTranslator::Told TermsTranslator::take(const recovery::Terms& terms) {
-  Told out;
+TermsTranslator::Changes TermsTranslator::take(const recovery::Terms& terms) {
+  Changes out;
   AdmissionLimitsReceived module;
   std::map<ServerId, core::OfficeEntry> now;
   for (const recovery::Terms::Line& line : terms.offices) {
--- a/src/fleet/service/terms.h
+++ b/src/fleet/service/terms.h
@@ -15,11 +15,11 @@
 
 class TermsTranslator {
  public:
-  struct Told {
+  struct Changes {
     std::vector<core::OfficeEntry> offices;         // that have changed
     std::optional<AdmissionLimitsReceived> module;  // where it has changed
   };
-  Told take(const recovery::Terms& terms);
+  Changes take(const recovery::Terms& terms);
 
  private:
   std::map<ServerId, core::OfficeEntry> offices_;
--- a/tests/fleet/fleet_smoke_test.cpp
+++ b/tests/fleet/fleet_smoke_test.cpp
@@ -11,7 +11,7 @@
 }
 
 TEST(Fleet, ThreeFindEachOtherServeAndLeaveInOrder) {
-  Rig rig({.controllers = 3, .offices = 3, .rate = 60.0, .lasts = 10s});
+  Rig rig({.controllers = 3, .offices = 3, .rate = 60.0, .load_duration = 10s});
   rig.pack().start_all();
   EXPECT_TRUE(rig.until(10s, [&] { return rig.all("alive", 3) && rig.all("stage", 5); }))
       << rig.figure(0, "alive") << " " << rig.figure(0, "stage") << "\n"
--- a/tests/fleet/hostile_loss_test.cpp
+++ b/tests/fleet/hostile_loss_test.cpp
@@ -12,7 +12,7 @@
   Rig rig({.controllers = 3,
            .offices = 3,
            .rate = 90.0,
-           .lasts = 30s,
+           .load_duration = 30s,
            .troubles = "  - {at: 14s, do: drain, centrales: [1], lasts: 60s}\n"});
   rig.pack().start_all();
   ASSERT_TRUE(whole(rig, 3, 12s)) << rig.pack().member(0).log();
--- a/tests/fleet/hostile_peer_test.cpp
+++ b/tests/fleet/hostile_peer_test.cpp
@@ -54,7 +54,7 @@
 }
 
 TEST(HostilePeer, MessagesCutAtEveryByteAreCountedAndNothingElseHappens) {
-  Rig rig({.controllers = 3, .offices = 3, .store = false, .rate = 60.0, .lasts = 8s});
+  Rig rig({.controllers = 3, .offices = 3, .store = false, .rate = 60.0, .load_duration = 8s});
   rig.pack().start_all();
   ASSERT_TRUE(whole(rig, 3)) << rig.pack().member(0).log();
   rig.play();
@@ -116,7 +116,7 @@
 }
 
 TEST(HostilePeer, AFloodOfDatagramsAndFactsIsBoundedAndTheRestGoesOn) {
-  Rig rig({.controllers = 3, .offices = 3, .store = false, .rate = 60.0, .lasts = 12s});
+  Rig rig({.controllers = 3, .offices = 3, .store = false, .rate = 60.0, .load_duration = 12s});
   rig.pack().start_all();
   ASSERT_TRUE(whole(rig, 3));
   rig.play();
--- a/tests/fleet/judged.cpp
+++ b/tests/fleet/judged.cpp
@@ -63,18 +63,18 @@
   return rules.found();
 }
 
-First first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
-                       std::uint32_t call_class, Time since) {
-  First out;
+FirstAttempts first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
+                               std::uint32_t call_class, Time since) {
+  FirstAttempts out;
   const auto earlier = [](std::optional<Time>& first, Time at) { first = std::min(first.value_or(at), at); };
   for (const load::TryRecord& t : tries) {
     if (t.target != target || t.call_class != call_class || t.sent < since) continue;
-    earlier(out.came, t.sent);
-    if (t.end == load::TryEnd::stands) earlier(out.stood, t.ended);
+    earlier(out.attempted_at, t.sent);
+    if (t.end == load::TryEnd::stands) earlier(out.established_at, t.ended);
   }
   for (const load::TryRecord& t : tries)
     if (t.target == target && t.call_class == call_class && t.sent >= since &&
-        t.end == load::TryEnd::refused && (!out.stood || t.ended < *out.stood))
+        t.end == load::TryEnd::refused && (!out.established_at || t.ended < *out.established_at))
       ++out.refused;
   return out;
 }
--- a/tests/fleet/judged.h
+++ b/tests/fleet/judged.h
@@ -43,12 +43,12 @@
                                    const std::vector<load::OfficeEvent>& told);
 
 // Of one class at one controller, since an instant: when the first try left for it, and when the first stood.
-struct First {
-  std::optional<Time> came, stood;
+struct FirstAttempts {
+  std::optional<Time> attempted_at, established_at;
   std::size_t refused = 0;  // before the first that stood
 };
-First first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
-                       std::uint32_t call_class, Time since);
+FirstAttempts first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
+                               std::uint32_t call_class, Time since);
 
 // Offices that were sent set-ups from an instant on.
 std::set<std::uint32_t> offices_used(const std::vector<load::OfficeEvent>& events, Time from,
--- a/tests/fleet/kept_stage_test.cpp
+++ b/tests/fleet/kept_stage_test.cpp
@@ -22,9 +22,9 @@
     keeping->flush(30s);
   }
   const auto keeping = disk.start();
-  ASSERT_TRUE(keeping->kept());
-  ASSERT_TRUE(keeping->kept()->age);
-  EXPECT_LE(*keeping->kept()->age, clocks::elapsed(before, base::boot_now()));
+  ASSERT_TRUE(keeping->persisted_state());
+  ASSERT_TRUE(keeping->persisted_state()->age);
+  EXPECT_LE(*keeping->persisted_state()->age, clocks::elapsed(before, base::boot_now()));
 }
 
 // The age of the stored stage, with the wall clock correct or stepped by up to an hour while the controller
@@ -36,8 +36,8 @@
     disk.write_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
                      base::wall_now() - kAge - GetParam(), written);
     const auto keeping = disk.start();
-    EXPECT_TRUE(keeping->kept());
-    return keeping->kept() ? keeping->kept()->age : std::nullopt;
+    EXPECT_TRUE(keeping->persisted_state());
+    return keeping->persisted_state() ? keeping->persisted_state()->age : std::nullopt;
   }
   static constexpr Duration kAge = 10min;
 };
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -77,7 +77,7 @@
   ASSERT_TRUE(peer.connect(own(1)));
   std::unique_lock lock(mutex);
   a.script.every = 1'000'000;
-  a.link->kept(5);
+  a.link->incarnation_persisted(5);
   ASSERT_TRUE(changed.wait_for(lock, kWait, [&] { return frozen; }));
   for (std::size_t i = 0; i < kCame; ++i) ASSERT_TRUE(peer.send(encode(ping(2, i))));
   std::this_thread::sleep_for(5ms);  // so that the tick is due; it is in any case by the time it is read
@@ -149,10 +149,10 @@
     a.script.every = 0;
     ++ticks;
   };
-  a.link->kept(5);
+  a.link->incarnation_persisted(5);
   ASSERT_EQ(stuck.get_future().wait_for(kWait), std::future_status::ready);
   for (int i = 0; i < 100'000; ++i) {
-    a.link->hurry();
+    a.link->reschedule();
     a.link->from_core(recovery::OfficeLoad{});
   }
   EXPECT_TRUE(stands) << "the link is not stuck: this tests nothing";
@@ -162,7 +162,7 @@
   for (int n = 1; n <= 2; ++n) {
     std::this_thread::sleep_for(20ms);  // so that the link has nothing else to do by which it would look
     a.script.every = 1;                 // due, and its timer does not know it
-    a.link->hurry();
+    a.link->reschedule();
     const auto until = std::chrono::steady_clock::now() + kWait;
     while (ticks < n && std::chrono::steady_clock::now() < until) std::this_thread::sleep_for(1ms);
     ASSERT_EQ(ticks, n);
--- a/tests/fleet/power.cpp
+++ b/tests/fleet/power.cpp
@@ -15,7 +15,7 @@
   out.processor =
       "{set_up: 8ms, answer: 4ms, release: 4ms, refuse: 2ms, repeat: 2ms, cold_from: 0.33, ramp: 15s, "
       "fall_multiple: 2}";
-  out.lasts = 90s;
+  out.load_duration = 90s;
   return out;
 }
 
@@ -50,7 +50,7 @@
 
 void Power::lose_power(Duration outage) {
   rig.pack().kill_all_at_once();
-  rig.discovery(false);
+  rig.set_discovery_reachable(false);
   change_offices();
   std::this_thread::sleep_for(outage);
 }
@@ -228,12 +228,12 @@
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (!members_[i].ready) continue;
     ++returned_count;
-    const First first = first_results_of(played.tries, i, kUrgent, *members_[i].launched);
-    if (!first.came) continue;  // it received no urgent call
-    ASSERT_TRUE(first.stood) << Rig::name(i) << " served no urgent call";
+    const FirstAttempts first = first_results_of(played.tries, i, kUrgent, *members_[i].launched);
+    if (!first.attempted_at) continue;  // it received no urgent call
+    ASSERT_TRUE(first.established_at) << Rig::name(i) << " served no urgent call";
     // It can serve none before it is ready, nor before one has arrived.
-    const Duration wait = *first.stood - std::max(*first.came, *members_[i].ready);
-    from_start.push_back(seconds(*first.stood - *members_[i].launched));
+    const Duration wait = *first.established_at - std::max(*first.attempted_at, *members_[i].ready);
+    from_start.push_back(seconds(*first.established_at - *members_[i].launched));
     waited.push_back(seconds(wait));
     EXPECT_LT(wait, 1s + kSlack) << Rig::name(i) << " refused " << first.refused << " before";
   }
--- a/tests/fleet/power_lists_test.cpp
+++ b/tests/fleet/power_lists_test.cpp
@@ -8,7 +8,7 @@
 using Offices = std::set<std::uint32_t>;
 
 struct Sides {
-  Rig rig{{.controllers = 6, .offices = 9, .two_lists = true, .rate = 120.0, .lasts = 120s}};
+  Rig rig{{.controllers = 6, .offices = 9, .two_lists = true, .rate = 120.0, .load_duration = 120s}};
   std::vector<std::size_t> log_offsets;  // ends of the controllers' logs at the last mark_logs()
 
   std::int64_t figure(std::size_t i, const char* name) const { return rig.figure(i, name); }
--- a/tests/fleet/power_second_test.cpp
+++ b/tests/fleet/power_second_test.cpp
@@ -28,7 +28,7 @@
 TEST(SecondLoss, AtEachStageOfTheFirstReturnServiceIsRestoredAndNoColdOfficeFalls) {
   RigSettings settings = power_settings();
   settings.controllers = 6;
-  settings.lasts = 150s;
+  settings.load_duration = 150s;
   settings.ramp = 60s;  // so that the office listed as cold first stays cold for at least two returns
   settings.processor.replace(settings.processor.find("15s"), 3, "60s");
   Power power(settings);
@@ -36,7 +36,7 @@
   ASSERT_FALSE(::testing::Test::HasFatalFailure());
   Rig& rig = power.rig;
   power.restart_listed_office();
-  rig.discovery(false);
+  rig.set_discovery_reachable(false);
   for (const std::string stage : {"dark", "asking", "probation", "full"}) {
     rig.pack().kill_all_at_once();
     rig.offices().befall({standin::Trouble::Kind::restart, {}, {Power::kCold}, 100ms, 1.0});
@@ -66,7 +66,7 @@
     EXPECT_TRUE(power.settled(45s)) << stage << "\n" << power.figures() << power.logs();
     EXPECT_TRUE(power.all_logged("how=opened", 0s)) << stage << power.logs();
   }
-  rig.discovery(true);
+  rig.set_discovery_reachable(true);
   EXPECT_TRUE(power.agree(8, 0, 20s)) << power.figures();
   EXPECT_TRUE(rig.all("failed", 0));
   power.judge(0.3, false);  // no office drains here
--- a/tests/fleet/return_world.cpp
+++ b/tests/fleet/return_world.cpp
@@ -112,7 +112,7 @@
 void ReturnWorld::apply_terms(std::size_t node, const recovery::Terms& terms) {
   Gateway& g = gateways_[node];
   for (const recovery::Terms::Line& line : terms.offices) g.addresses[line.office.id] = line.office.at;
-  const TermsTranslator::Told changes = g.applied_terms.take(terms);
+  const TermsTranslator::Changes changes = g.applied_terms.take(terms);
   if (!g.module) g.module = std::make_unique<Controller>(module_settings(case_), seed_ * 131 + node);
   if (!changes.offices.empty()) {
     ServerListReceived list;
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -69,7 +69,8 @@
 load::Scenario Rig::scenario() const {
   load::Scenario out = load::parse_scenario(
       "seed: " + std::to_string(settings_.seed) + "\nduration: " +
-          std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(settings_.lasts).count()) +
+          std::to_string(
+              std::chrono::duration_cast<std::chrono::milliseconds>(settings_.load_duration).count()) +
           "ms\narrivals: {process: poisson, rate: " + std::to_string(settings_.rate) + R"(}
 classes:
   - {name: estado-viaje, share: 0.61, aim: 1500ms, deadline: 9s, patience: 35%, worth: 1, hold: {mean: 1s}}
@@ -91,7 +92,7 @@
              ("reeltack-rig-" + std::to_string(::getpid()) + "-" + std::to_string(i)))
                 .string();
   out.name = name(i);
-  if (settings_.fleet && i + settings_.alone < settings_.controllers) out.fleet = yaml(i);
+  if (settings_.fleet && i + settings_.without_fleet < settings_.controllers) out.fleet = yaml(i);
   out.sip = sip(i);
   out.mgmt = base::to_text(mgmt(i));
   if (settings_.offices_known) {
@@ -115,7 +116,7 @@
   }
   std::string out = "fleet:\n  id: rig\n  zone: z" + std::to_string(i % settings_.zones) + "\n  listen: \"" +
                     base::to_text(link(i)) +
-                    "\"\n  size: " + std::to_string(settings_.controllers - settings_.alone) +
+                    "\"\n  size: " + std::to_string(settings_.controllers - settings_.without_fleet) +
                     "\n  seeds: [" + seeds + "]\n  via: " + between_->via_yaml(name(i)) + "\n";
   if (settings_.store)
     out += "  store: \"" +
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -29,7 +29,7 @@
   std::string binary = REELTACK_BINARY;
   std::string first_binary = {};  // of n0; empty: as the others
   std::size_t controllers = 12;
-  std::size_t alone = 0;  // the last so many of them, as without the section
+  std::size_t without_fleet = 0;  // the last so many of them, as without the section
   std::size_t offices = 8;
   bool fleet = true;          // false: each alone, as without the section
   bool store = true;          // with the fleet: what is kept
@@ -37,9 +37,9 @@
   // Two bulletins told by hand (lists()), the second followed by the later half; the offices' own tells
   // nobody.
   bool two_lists = false;
-  std::size_t zones = 3;  // controllers are dealt out to them
-  double rate = 120.0;    // set-ups a second over all
-  Duration lasts = 20s;   // of the load
+  std::size_t zones = 3;         // controllers are dealt out to them
+  double rate = 120.0;           // set-ups a second over all
+  Duration load_duration = 20s;  // of the load
   std::uint64_t seed = 1;
   std::string processor = "{set_up: 8ms, answer: 4ms, release: 4ms, refuse: 2ms, repeat: 2ms}";
   std::string troubles = {};  // of the offices, as in a centrales' file; empty: none
@@ -64,7 +64,7 @@
   [[nodiscard]] base::Address sip(std::size_t i) const { return {host_, port(5100, i)}; }
   [[nodiscard]] base::Address mgmt(std::size_t i) const { return {host_, port(5300, i)}; }
   // The bulletin is cut off from every controller, or there again.
-  void discovery(bool on) {
+  void set_discovery_reachable(bool on) {
     if (on)
       between_->clear({{"*"}, {"bulletin"}, true});
     else
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -63,7 +63,7 @@
     std::map<ServerId, Time> unreported_since;
     std::map<ServerId, bool> is_up;
     std::map<ServerId, Time> changed_at;
-    for (std::uint32_t id = 1; id <= 4; ++id) reader.sightings.name(office(id));
+    for (std::uint32_t id = 1; id <= 4; ++id) reader.sightings.track(office(id));
     Time now{1h};
     bool opens = below(2) == 0;
     const std::uint64_t bad = below(2) == 0 ? 40 : 4;  // about one outcome in this many
@@ -119,7 +119,7 @@
 
 TEST(OfficeObservations, AThousandCallsPerSecondAreReportedOncePerSecond) {
   Reader reader;
-  reader.sightings.name(office(1));
+  reader.sightings.track(office(1));
   const Time begin{1h};
   for (int n = 0; n <= 10'000; ++n) {
     const Time now = begin + n * 1ms;
@@ -141,9 +141,9 @@
   (void)reader.sightings.saw(now, ServerId{1}, OfficeObservation::answered);
   reader.collect(now);
   EXPECT_EQ(reader.events, 0U) << "the instance is not known yet";
-  reader.sightings.name(office(1));
+  reader.sightings.track(office(1));
   (void)reader.sightings.saw(now + 1ms, ServerId{1}, OfficeObservation::answered);
-  reader.sightings.name(office(1, 2000));
+  reader.sightings.track(office(1, 2000));
   reader.collect(now + 2ms);
   EXPECT_EQ(reader.events, 0U);
   (void)reader.sightings.saw(now + 3ms, ServerId{1}, OfficeObservation::silent);
@@ -156,7 +156,7 @@
 TEST(OfficeObservations, TheCoreCountsWhileTheLinkCollects) {
   constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
   Reader reader;
-  for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.name(office(id));
+  for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.track(office(id));
   std::atomic<bool> finished{false};
   std::thread core([&] {
     for (std::uint32_t n = 0; n < 20 * kTwice; ++n)
--- a/tests/fleet/stores_failing_test.cpp
+++ b/tests/fleet/stores_failing_test.cpp
@@ -19,7 +19,11 @@
 class FailingDisk {
  public:
   FailingDisk()
-      : rig({.first_binary = REELTACK_DYING, .controllers = 3, .offices = 3, .rate = 30.0, .lasts = 600s}) {
+      : rig({.first_binary = REELTACK_DYING,
+             .controllers = 3,
+             .offices = 3,
+             .rate = 30.0,
+             .load_duration = 600s}) {
     EXPECT_NE(::mkdtemp(folder_.data()), nullptr);
     ::setenv("REELTACK_FAILS_WHILE", (folder_ + "/fails").c_str(), 1);
   }
--- a/tests/fleet/stores_kills_test.cpp
+++ b/tests/fleet/stores_kills_test.cpp
@@ -25,7 +25,7 @@
 }
 
 TEST(Stores, KillsAtAnyMomentUnderLoadLeaveAStoreThatIsReadAndAnIncarnationThatGrows) {
-  Rig rig({.controllers = 3, .offices = 3, .rate = 60.0, .lasts = 14s});
+  Rig rig({.controllers = 3, .offices = 3, .rate = 60.0, .load_duration = 14s});
   rig.pack().start_all();
   ASSERT_TRUE(whole(rig, 3)) << rig.pack().member(0).log();
   rig.play();
@@ -54,7 +54,11 @@
 class EachWrite {
  public:
   EachWrite()
-      : rig({.first_binary = REELTACK_DYING, .controllers = 3, .offices = 3, .rate = 30.0, .lasts = 600s}) {}
+      : rig({.first_binary = REELTACK_DYING,
+             .controllers = 3,
+             .offices = 3,
+             .rate = 30.0,
+             .load_duration = 600s}) {}
   ~EachWrite() {
     if (playing_) static_cast<void>(played());
   }
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/turn_world.cpp
@@ -222,7 +222,7 @@
     } else if (const auto* apply = std::get_if<ApplyTerms>(&action)) {
       n.terms = apply->terms;
       if (n.urgent_open == Time::max() && !apply->terms.closed[1]) n.urgent_open = now_;
-      for (const recovery::Terms::Line& line : apply->terms.offices) n.sightings->name(line.office);
+      for (const recovery::Terms::Line& line : apply->terms.offices) n.sightings->track(line.office);
       if (on_terms) on_terms(i, apply->terms);
     }
   }
