--- a/src/fleet/link/connection.cpp
+++ b/src/fleet/link/connection.cpp
@@ -1,4 +1,4 @@
-// The task of one connection. Must never wait beyond its deadline.
+// The coroutines of one connection.
 #include "fleet/link/connection.h"
 
 #include <array>
@@ -7,27 +7,27 @@
 
 namespace reeltack::fleet::link {
 
-Connection::Connection(TaskContext around, ConnectionId id, asio::ip::tcp::socket socket, Ended ended)
-    : around_(std::move(around)),
+Connection::Connection(TaskContext context, ConnectionId id, asio::ip::tcp::socket socket, OnEnded on_ended)
+    : context_(std::move(context)),
       id_(id),
       socket_(std::move(socket)),
-      timer_(around_.io),
-      ended_(std::move(ended)) {}
+      timer_(context_.io),
+      on_ended_(std::move(on_ended)) {}
 
 void Connection::dial(Endpoint to, MemberId member) {
   member_ = member;
-  limit(around_.settings.dial_timeout);
+  set_deadline(context_.settings.dial_timeout);
   start(to);
 }
 
-void Connection::accepted() {
-  limit(around_.settings.idle_timeout);
+void Connection::start_accepted() {
+  set_deadline(context_.settings.idle_timeout);
   start(std::nullopt);
 }
 
 void Connection::start(std::optional<Endpoint> to) {
-  spawn(around_.io, run(shared_from_this(), to));
-  spawn(around_.io, watch(shared_from_this()));
+  spawn(context_.io, run(shared_from_this(), to));
+  spawn(context_.io, enforce_deadline(shared_from_this()));
 }
 
 asio::awaitable<void> Connection::run(Self, std::optional<Endpoint> to) {
@@ -36,16 +36,16 @@
     const asio::ip::tcp::endpoint at(address_of(*to), to->port);
     co_await socket_.async_connect(at, with(error));
     if (error) end();
-    if (over_) co_return;
-    limit(around_.settings.idle_timeout);
+    if (ended_) co_return;
+    set_deadline(context_.settings.idle_timeout);
   }
   socket_.set_option(asio::ip::tcp::no_delay(true), error);
-  up_ = true;
+  established_ = true;
   if (to)
-    around_.tell(Opened{id_, member_});
+    context_.report_event(Opened{id_, member_});
   else
-    around_.tell(Accepted{id_});
-  for (bool more = true; more && !over_;) more = co_await read_frame();
+    context_.report_event(Accepted{id_});
+  for (bool more = true; more && !ended_;) more = co_await read_frame();
   end();
 }
 
@@ -53,106 +53,107 @@
   std::array<char, kFrameLengthBytes> length{};
   asio::error_code error;
   co_await asio::async_read(socket_, asio::buffer(length), with(error));
-  if (error || over_) co_return false;
+  if (error || ended_) co_return false;
   try {
     body_.resize(frame_length({length.data(), length.size()}));
   } catch (const CodecError&) {
     co_return malformed(std::nullopt);
   }
   co_await asio::async_read(socket_, asio::buffer(body_), with(error));
-  if (error || over_) co_return false;
-  if (hanging_) co_return true;  // what still comes is read and dropped, so that our last words arrive
-  count(around_.counters.frames_in);
-  count(around_.counters.frame_bytes_in, kFrameLengthBytes + body_.size());
-  if (++frames_ > around_.settings.max_frames) co_return malformed(std::nullopt);
-  limit(around_.settings.idle_timeout);
-  std::optional<MemberId> who;
+  if (error || ended_) co_return false;
+  // Drains the input: closing with unread data would reset the connection and lose the last frames sent.
+  if (hanging_up_) co_return true;
+  count(context_.counters.frames_in);
+  count(context_.counters.frame_bytes_in, kFrameLengthBytes + body_.size());
+  if (++frames_ > context_.settings.max_frames) co_return malformed(std::nullopt);
+  set_deadline(context_.settings.idle_timeout);
+  std::optional<MemberId> sender;
   try {
-    ExchangeReceived said{id_, decode_exchange(body_)};
-    around_.tell(std::move(said));
+    ExchangeReceived received{id_, decode_exchange(body_)};
+    context_.report_event(std::move(received));
     co_return true;
   } catch (const CodecError& broken) {
-    who = broken.from;
+    sender = broken.from;
   }
-  co_return malformed(who);
+  co_return malformed(sender);
 }
 
-bool Connection::malformed(std::optional<MemberId> who) {
-  count(around_.counters.malformed);
-  if (!hanging_) around_.tell(Malformed{member_ != MemberId{} ? member_ : who});
+bool Connection::malformed(std::optional<MemberId> sender) {
+  count(context_.counters.malformed);
+  if (!hanging_up_) context_.report_event(Malformed{member_ != MemberId{} ? member_ : sender});
   return false;
 }
 
 void Connection::send(std::string frame) {
-  if (over_ || hanging_) return;
-  if (!up_ || queued_ + frame.size() > around_.settings.max_queued_bytes) {
-    count(around_.counters.overflowed);
+  if (ended_ || hanging_up_) return;
+  if (!established_ || queued_bytes_ + frame.size() > context_.settings.max_queued_bytes) {
+    count(context_.counters.overflowed);
     end();
     return;
   }
-  queued_ += frame.size();
-  out_.push_back(std::move(frame));
+  queued_bytes_ += frame.size();
+  outgoing_.push_back(std::move(frame));
   if (writing_) return;
   writing_ = true;
-  spawn(around_.io, write(shared_from_this()));
+  spawn(context_.io, write(shared_from_this()));
 }
 
 asio::awaitable<void> Connection::write(Self) {
-  while (!over_ && !out_.empty()) {
+  while (!ended_ && !outgoing_.empty()) {
     asio::error_code error;
-    co_await asio::async_write(socket_, asio::buffer(out_.front()), with(error));
+    co_await asio::async_write(socket_, asio::buffer(outgoing_.front()), with(error));
     if (error) {
       end();
       break;
     }
-    count(around_.counters.frames_out);
-    count(around_.counters.frame_bytes_out, out_.front().size());
-    queued_ -= out_.front().size();
-    out_.pop_front();
+    count(context_.counters.frames_out);
+    count(context_.counters.frame_bytes_out, outgoing_.front().size());
+    queued_bytes_ -= outgoing_.front().size();
+    outgoing_.pop_front();
   }
   writing_ = false;
-  if (hanging_) shut();
+  if (hanging_up_) shut_down_sending();
 }
 
 void Connection::hang_up() {
-  if (over_ || hanging_) return;
-  hanging_ = true;
-  if (!up_) {
+  if (ended_ || hanging_up_) return;
+  hanging_up_ = true;
+  if (!established_) {
     end(false);
     return;
   }
-  limit(around_.settings.hang_up_timeout);
-  if (!writing_) shut();
+  set_deadline(context_.settings.hang_up_timeout);
+  if (!writing_) shut_down_sending();
 }
 
-void Connection::shut() {
+void Connection::shut_down_sending() {
   asio::error_code ignored;
-  if (!over_) socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
+  if (!ended_) socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
-void Connection::limit(Duration from_now) {
+void Connection::set_deadline(Duration from_now) {
   deadline_ = Clock::now() + from_now;
-  if (deadline_ < armed_) timer_.cancel();  // the watch waits for too late a time
+  if (deadline_ < armed_) timer_.cancel();  // enforce_deadline() waits for a later time
 }
 
-asio::awaitable<void> Connection::watch(Self) {
-  while (!over_) {
+asio::awaitable<void> Connection::enforce_deadline(Self) {
+  while (!ended_) {
     armed_ = deadline_;
     timer_.expires_at(armed_);
     asio::error_code error;
     co_await timer_.async_wait(with(error));
-    if (!over_ && Clock::now() >= deadline_) end();
+    if (!ended_ && Clock::now() >= deadline_) end();
   }
 }
 
-void Connection::end(bool told) {
-  if (over_) return;
-  over_ = true;
+void Connection::end(bool report) {
+  if (ended_) return;
+  ended_ = true;
   asio::error_code ignored;
   socket_.close(ignored);
   timer_.cancel();
-  ended_(id_);
-  if (told && !hanging_) around_.tell(Closed{id_});
+  on_ended_(id_);
+  if (report && !hanging_up_) context_.report_event(Closed{id_});
 }
 
 }  // namespace reeltack::fleet::link
--- a/src/fleet/link/connections.cpp
+++ b/src/fleet/link/connections.cpp
@@ -1,4 +1,4 @@
-// The connections of the link. Must never accept or dial beyond the bounds.
+// Accepting, dialling and closing of the link's connections.
 #include "fleet/link/connections.h"
 
 #include <algorithm>
@@ -8,84 +8,84 @@
 namespace reeltack::fleet::link {
 namespace {
 constexpr int kBacklog = 32;
-constexpr auto kPause = std::chrono::milliseconds(50);  // after an accept that failed
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);  // after a failed accept
 }  // namespace
 
-Connections::Connections(TaskContext around)
-    : around_(std::move(around)), acceptor_(around_.io), pause_(around_.io) {}
+Connections::Connections(TaskContext context)
+    : context_(std::move(context)), acceptor_(context_.io), retry_timer_(context_.io) {}
 
 void Connections::open() {
-  const asio::ip::tcp::endpoint at(address_of(around_.settings.listen), around_.settings.listen.port);
+  const asio::ip::tcp::endpoint at(address_of(context_.settings.listen), context_.settings.listen.port);
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
-  // Else asio waits for the next connection after one that was aborted, whoever else is in the queue.
+  // Without this option asio skips an aborted connection and waits for the next one, even if more are queued.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   acceptor_.bind(at);
   acceptor_.listen(kBacklog);
 }
 
-void Connections::start() { spawn(around_.io, run()); }
+void Connections::start() { spawn(context_.io, run()); }
 
 asio::awaitable<void> Connections::run() {
   while (acceptor_.is_open()) {
-    asio::ip::tcp::socket socket(around_.io);
+    asio::ip::tcp::socket socket(context_.io);
     asio::error_code error;
     co_await acceptor_.async_accept(socket, with(error));
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) co_return;
     if (!error) {
-      take(std::move(socket));
+      add_accepted(std::move(socket));
       continue;
     }
-    pause_.expires_after(kPause);
-    co_await pause_.async_wait(with(error));
+    retry_timer_.expires_after(kAcceptRetryDelay);
+    co_await retry_timer_.async_wait(with(error));
   }
 }
 
-void Connections::take(asio::ip::tcp::socket socket) {
+void Connections::add_accepted(asio::ip::tcp::socket socket) {
   asio::error_code error;
   const auto peer = socket.remote_endpoint(error);
   if (error) return;
   const std::uint32_t from = peer.address().to_v4().to_uint();
-  std::size_t accepted = 0, of_address = 0;
-  for (const auto& [id, line] : lines_) {
-    accepted += line.accepted ? 1 : 0;
-    of_address += line.accepted && line.from == from ? 1 : 0;
+  std::size_t accepted = 0, from_address = 0;
+  for (const auto& [id, entry] : entries_) {
+    accepted += entry.accepted ? 1 : 0;
+    from_address += entry.accepted && entry.from == from ? 1 : 0;
   }
-  const LinkSettings& s = around_.settings;
-  if (lines_.size() >= s.most_connections || accepted >= s.max_accepted ||
-      of_address >= s.max_accepted_per_address) {
-    count(around_.counters.refused);
+  const LinkSettings& s = context_.settings;
+  if (entries_.size() >= s.max_connections || accepted >= s.max_accepted ||
+      from_address >= s.max_accepted_per_address) {
+    count(context_.counters.refused);
     return;  // closed as it goes out of scope
   }
-  count(around_.counters.accepted);
-  count(around_.counters.connections);
-  const ConnectionId id{next_};
-  next_ += 2;
-  const auto connection = std::make_shared<Connection>(around_, id, std::move(socket),
-                                                       [this](ConnectionId over) { ended(over); });
-  lines_[id] = {connection, from, true};
-  connection->accepted();
+  count(context_.counters.accepted);
+  count(context_.counters.connections);
+  const ConnectionId id{next_id_};
+  next_id_ += 2;
+  const auto connection = std::make_shared<Connection>(context_, id, std::move(socket),
+                                                       [this](ConnectionId ended_id) { remove(ended_id); });
+  entries_[id] = {connection, from, true};
+  connection->start_accepted();
 }
 
 void Connections::dial(const Dial& dial) {
-  asio::ip::tcp::socket socket(around_.io);
+  asio::ip::tcp::socket socket(context_.io);
   asio::error_code error = asio::error::no_buffer_space;
-  if (lines_.size() < around_.settings.most_connections && lines_.count(dial.id) == 0) {
+  if (entries_.size() < context_.settings.max_connections && entries_.count(dial.id) == 0) {
     socket.open(asio::ip::tcp::v4(), error);
-    // From the own address, so that the peer's bound for each address counts it as ours.
-    if (!error) socket.bind({address_of(around_.settings.listen), 0}, error);
+    // Bound to our listening address, so that the peer counts the connection against our address.
+    if (!error) socket.bind({address_of(context_.settings.listen), 0}, error);
   }
   if (error) {
-    count(around_.counters.refused);
-    asio::post(around_.io, [tell = around_.tell, id = dial.id] { tell(Closed{id}); });
+    count(context_.counters.refused);
+    asio::post(context_.io, [report = context_.report_event, id = dial.id] { report(Closed{id}); });
     return;
   }
-  count(around_.counters.dialled);
-  count(around_.counters.connections);
-  const auto connection = std::make_shared<Connection>(around_, dial.id, std::move(socket),
-                                                       [this](ConnectionId over) { ended(over); });
-  lines_[dial.id] = {connection, 0, false};
-  connection->dial(way_to(around_.settings, dial.member, dial.to), dial.member);
+  count(context_.counters.dialled);
+  count(context_.counters.connections);
+  const auto connection = std::make_shared<Connection>(context_, dial.id, std::move(socket),
+                                                       [this](ConnectionId ended_id) { remove(ended_id); });
+  entries_[dial.id] = {connection, 0, false};
+  connection->dial(route_to(context_.settings, dial.member, dial.to), dial.member);
 }
 
 void Connections::send(const SendExchange& send) {
@@ -95,7 +95,7 @@
   try {
     frame = encode(send.exchange);
   } catch (const CodecError& broken) {
-    around_.say({"fleet_not_encoded", std::string("error=\"") + broken.what() + "\""});
+    context_.write_log({"fleet_not_encoded", std::string("error=\"") + broken.what() + "\""});
     connection->end();
     return;
   }
@@ -106,31 +106,31 @@
   if (const auto connection = find(id)) connection->hang_up();
 }
 
-void Connections::leave(std::function<void()> done) {
-  done_ = std::move(done);
+void Connections::leave(std::function<void()> on_empty) {
+  on_empty_ = std::move(on_empty);
   asio::error_code ignored;
   acceptor_.close(ignored);
-  const auto lines = lines_;  // hanging up may end some
-  for (const auto& [id, line] : lines) line.connection->hang_up();
-  if (lines_.empty()) done_();
+  const auto entries = entries_;  // a copy: hang_up() may remove entries
+  for (const auto& [id, entry] : entries) entry.connection->hang_up();
+  if (entries_.empty()) on_empty_();
 }
 
 void Connections::close() {
   asio::error_code ignored;
   acceptor_.close(ignored);
-  const auto lines = lines_;
-  for (const auto& [id, line] : lines) line.connection->end(false);
+  const auto entries = entries_;
+  for (const auto& [id, entry] : entries) entry.connection->end(false);
 }
 
-void Connections::ended(ConnectionId id) {
-  if (lines_.erase(id) == 0) return;
-  around_.counters.connections.fetch_sub(1, std::memory_order_relaxed);
-  if (lines_.empty() && done_) done_();
+void Connections::remove(ConnectionId id) {
+  if (entries_.erase(id) == 0) return;
+  context_.counters.connections.fetch_sub(1, std::memory_order_relaxed);
+  if (entries_.empty() && on_empty_) on_empty_();
 }
 
 std::shared_ptr<Connection> Connections::find(ConnectionId id) const {
-  const auto line = lines_.find(id);
-  return line == lines_.end() ? nullptr : line->second.connection;
+  const auto entry = entries_.find(id);
+  return entry == entries_.end() ? nullptr : entry->second.connection;
 }
 
 }  // namespace reeltack::fleet::link
--- a/src/fleet/link/core_queue.cpp
+++ b/src/fleet/link/core_queue.cpp
@@ -1,16 +1,16 @@
-// What the core says on its way to the link's thread. Must never make the core wait.
+// Implementation of CoreQueue.
 #include "fleet/link/core_queue.h"
 
 namespace reeltack::fleet::link {
 
 bool CoreQueue::push(recovery::Event event) {
   const std::lock_guard lock(mutex_);
-  if (queue_.size() < most_)
+  if (queue_.size() < max_size_)
     queue_.push_back(std::move(event));
   else
     ++dropped_;
-  if (woken_ || queue_.empty()) return false;
-  woken_ = true;
+  if (wake_pending_ || queue_.empty()) return false;
+  wake_pending_ = true;
   return true;
 }
 
@@ -18,7 +18,7 @@
   std::vector<recovery::Event> out;
   const std::lock_guard lock(mutex_);
   out.swap(queue_);
-  woken_ = false;
+  wake_pending_ = false;
   return out;
 }
 
--- a/src/fleet/link/link.cpp
+++ b/src/fleet/link/link.cpp
@@ -1,4 +1,4 @@
-// The link's thread: events to the driver, its actions to the tasks. Must never decide anything.
+// The link's thread: passes events to the driver and carries out its actions.
 #include "fleet/link/link.h"
 
 #include <atomic>
@@ -13,15 +13,15 @@
 namespace reeltack::fleet::link {
 namespace {
 
-constexpr Duration kBetweenTicks = std::chrono::milliseconds(1);
+constexpr Duration kMinTickInterval = std::chrono::milliseconds(1);
 
 using base::now;
 template <class... Case>
-struct Each : Case... {
+struct Overloaded : Case... {
   using Case::operator()...;
 };
 template <class... Case>
-Each(Case...) -> Each<Case...>;
+Overloaded(Case...) -> Overloaded<Case...>;
 
 }  // namespace
 
@@ -34,10 +34,10 @@
   Impl(LinkSettings settings, Driver& driver, LinkCallbacks outward)
       : settings_(std::move(settings)),
         driver_(driver),
-        out_(std::move(outward)),
+        callbacks_(std::move(outward)),
         io_(1),
-        udp_(around()),
-        connections_(around()),
+        udp_(context()),
+        connections_(context()),
         timer_(io_),
         queue_(settings_.max_core_events) {}
 
@@ -54,12 +54,12 @@
     connections_.start();
     asio::post(io_, [this] {
       run([this](Time at, CoordinatorActions& actions) { driver_.begin(at, actions); });
-      spawn(io_, ticks());
+      spawn(io_, tick_loop());
     });
-    std::string why;
-    if (!thread_.start([this] { serve(); }, why)) {
+    std::string error_text;
+    if (!thread_.start([this] { run_thread(); }, error_text)) {
       close();
-      throw LinkError("fleet: no thread for the link: " + why);
+      throw LinkError("fleet: no thread for the link: " + error_text);
     }
     started_ = true;
   }
@@ -73,47 +73,47 @@
   }
 
   void from_core(recovery::Event event) {
-    if (queue_.push(std::move(event))) asio::post(io_, [this] { take_from_core(); });
+    if (queue_.push(std::move(event))) asio::post(io_, [this] { dispatch_core_events(); });
   }
   void reschedule() {
     if (reschedule_posted_.exchange(true)) return;
     asio::post(io_, [this] {
-      reschedule_posted_ =
-          false;  // before next() is asked: whoever hurries from here on is heard by a further turn
-      arm();
+      reschedule_posted_ = false;  // cleared before next() is read: a later reschedule() posts again
+      rearm_timer();
     });
   }
   void incarnation_persisted(Incarnation to) {
-    asio::post(io_, [this, to] { tell(IncarnationPersisted{to}); });
+    asio::post(io_, [this, to] { dispatch(IncarnationPersisted{to}); });
   }
   [[nodiscard]] LinkFigures figures() const {
-    const Counters& c = counters_;
+    const LinkCounters& c = counters_;
     return {c.datagrams_in,   c.datagrams_out,   c.bytes_in, c.bytes_out,      c.frames_in,     c.frames_out,
             c.frame_bytes_in, c.frame_bytes_out, c.dialled,  c.accepted,       c.connections,   c.refused,
             c.malformed,      c.overflowed,      c.not_sent, queue_.dropped(), Duration(c.cpu), c.failed};
   }
 
  private:
-  TaskContext around() {
-    return {io_, settings_, counters_, [this](CoordinatorEvent event) { tell(std::move(event)); },
-            [this](Log log) { say(std::move(log)); }};
+  TaskContext context() {
+    return {io_, settings_, counters_, [this](CoordinatorEvent event) { dispatch(std::move(event)); },
+            [this](Log log) { write_log(std::move(log)); }};
   }
 
-  void serve() {
+  void run_thread() {
     try {
       io_.run();
     } catch (const std::exception& error) {
       counters_.failed = true;
-      say({"fleet_link_failed", std::string("error=\"") + error.what() + "\""});
+      write_log({"fleet_link_failed", std::string("error=\"") + error.what() + "\""});
       close();
     }
-    tell_cpu();
+    update_cpu_time();
   }
 
-  // One call of the driver at a time: what its actions bring about is told after them.
+  // Calls the driver once, then once for each event that its actions cause. Events that arrive meanwhile are
+  // queued, so that calls of the driver never nest.
   template <class Call>
   void run(Call call) {
-    busy_ = true;
+    dispatching_ = true;
     CoordinatorActions actions;
     call(now(), actions);
     carry_out(actions);
@@ -124,16 +124,16 @@
       driver_.on(now(), event, actions);
       carry_out(actions);
     }
-    busy_ = false;
-    arm();
+    dispatching_ = false;
+    rearm_timer();
   }
-  void arm() {
+  void rearm_timer() {
     if (driver_.next() < armed_) timer_.cancel();
   }
 
-  void tell(CoordinatorEvent event) {
+  void dispatch(CoordinatorEvent event) {
     if (leaving_) return;
-    if (busy_)
+    if (dispatching_)
       pending_.push_back(std::move(event));
     else
       run([this, &event](Time at, CoordinatorActions& actions) { driver_.on(at, event, actions); });
@@ -141,30 +141,30 @@
 
   void carry_out(CoordinatorActions& actions) {
     for (CoordinatorAction& action : actions)
-      std::visit(Each{[this](const SendMembership& send) { udp_.send(send); },
-                      [this](const SendPush& send) { udp_.send(send); },
-                      [this](const Dial& dial) { connections_.dial(dial); },
-                      [this](const SendExchange& send) { connections_.send(send); },
-                      [this](const CloseConnection& hang_up) { connections_.hang_up(hang_up.id); },
-                      [this](Store& store) {
-                        if (out_.to_store) out_.to_store(std::move(store));
-                      },
-                      [this](ApplyTerms& told) {
-                        if (out_.to_core) out_.to_core(std::move(told.terms));
-                      },
-                      [this](Log& log) { say(std::move(log)); }},
+      std::visit(Overloaded{[this](const SendMembership& send) { udp_.send(send); },
+                            [this](const SendPush& send) { udp_.send(send); },
+                            [this](const Dial& dial) { connections_.dial(dial); },
+                            [this](const SendExchange& send) { connections_.send(send); },
+                            [this](const CloseConnection& closing) { connections_.hang_up(closing.id); },
+                            [this](Store& store) {
+                              if (callbacks_.to_store) callbacks_.to_store(std::move(store));
+                            },
+                            [this](ApplyTerms& apply) {
+                              if (callbacks_.to_core) callbacks_.to_core(std::move(apply.terms));
+                            },
+                            [this](Log& log) { write_log(std::move(log)); }},
                  action);
   }
 
-  void say(Log log) {
-    if (out_.log) out_.log(std::move(log));
+  void write_log(Log log) {
+    if (callbacks_.log) callbacks_.log(std::move(log));
   }
 
-  void take_from_core() {
-    for (recovery::Event& event : queue_.take()) tell(CoreEvent{std::move(event)});
+  void dispatch_core_events() {
+    for (recovery::Event& event : queue_.take()) dispatch(CoreEvent{std::move(event)});
   }
 
-  asio::awaitable<void> ticks() {
+  asio::awaitable<void> tick_loop() {
     Time earliest = Time::min();
     while (!leaving_) {
       armed_ = std::max(driver_.next(), earliest);
@@ -173,11 +173,12 @@
       co_await timer_.async_wait(with(error));
       if (leaving_) co_return;
       if (now() < driver_.next() || now() < earliest) continue;
-      udp_.drain(settings_.max_datagrams_before_tick);  // see link.h: answers that lie here did come
+      // See link.h: answers waiting in the socket did arrive.
+      udp_.drain(settings_.max_datagrams_before_tick);
       if (now() < driver_.next()) continue;
       run([this](Time at, CoordinatorActions& actions) { driver_.tick(at, actions); });
-      earliest = now() + kBetweenTicks;
-      tell_cpu();
+      earliest = now() + kMinTickInterval;
+      update_cpu_time();
     }
   }
 
@@ -185,14 +186,14 @@
     run([this](Time at, CoordinatorActions& actions) { driver_.leave(at, actions); });
     leaving_ = true;
     timer_.cancel();
-    spawn(io_, end_by(settings_.leave_timeout));
+    spawn(io_, stop_after(settings_.leave_timeout));
     connections_.leave([this] { io_.stop(); });
   }
 
-  asio::awaitable<void> end_by(Duration most) {
-    asio::steady_timer by(io_, most);
+  asio::awaitable<void> stop_after(Duration timeout) {
+    asio::steady_timer timer(io_, timeout);
     asio::error_code error;
-    co_await by.async_wait(with(error));
+    co_await timer.async_wait(with(error));
     io_.stop();
   }
 
@@ -202,7 +203,7 @@
     connections_.close();
   }
 
-  void tell_cpu() {
+  void update_cpu_time() {
     timespec at{};
     if (::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at) == 0)
       counters_.cpu = std::int64_t{at.tv_sec} * 1'000'000'000 + at.tv_nsec;
@@ -210,17 +211,17 @@
 
   const LinkSettings settings_;
   Driver& driver_;
-  const LinkCallbacks out_;
-  Counters counters_;
+  const LinkCallbacks callbacks_;
+  LinkCounters counters_;
   asio::io_context io_;
   UdpTask udp_;
   Connections connections_;
   asio::steady_timer timer_;
   CoreQueue queue_;
   std::deque<CoordinatorEvent> pending_;
-  Time armed_ = Time::min();  // what the timer waits for
+  Time armed_ = Time::min();  // when the timer expires
   std::atomic<bool> reschedule_posted_{false};
-  bool busy_ = false, leaving_ = false, started_ = false, stopped_ = false;
+  bool dispatching_ = false, leaving_ = false, started_ = false, stopped_ = false;
   base::Thread thread_;
 };
 
--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -1,23 +1,28 @@
-// The fleet's sockets: datagrams and exchanges with peers, on one thread that drives the fleet's turn.
+// The fleet's sockets: datagrams and exchange connections with peers, on one thread that also runs the driver
+// (the fleet's coordinator).
 //
-// Tasks (coroutines on standalone Asio) that own their sockets and their state: one reads datagrams, one
-// accepts, a reader, a writer and a watch for each connection; they tell events, and are told actions.
+// The link consists of coroutines on standalone Asio, each with its own socket and state: one reads
+// datagrams, one accepts connections, and each connection has a reader, a writer and one that enforces its
+// deadline. They report events to the driver, whose actions they carry out. The link itself takes no
+// decisions.
 //
-// Owns: the sockets, the thread, the order of events, and every bound on what a peer may take of memory or
-// time. Must never: decide anything, be waited for by the core, or read the wall clock.
+// Time: the steady clock base::now(), as in the core; the wall clock is never read.
+// After a process was frozen (SIGSTOP), its first tick is late and receives the true time. Datagrams that
+// arrived in the meantime and are still in the socket are read before that tick, so that answers that did
+// arrive are not counted as missing. Connections past their deadline are closed.
 //
-// Time: the steady clock, base::now(), as in the core.
-// A frozen process (SIGSTOP) that goes on: its first tick comes late and is told the true time. Datagrams
-// that came meanwhile and still lie in the socket are read before that tick, so that answers that did come do
-// not count as missing; connections whose time has passed are closed.
-// Bounds: a peer is read a frame or `max_datagrams_per_read` at a time, then others have their turn; what
-// does not fit into a socket's buffer is dropped (datagrams) or queued up to `max_queued_bytes` (connections,
-// then closed).
+// Bounds: one frame of a
+// connection, or `max_datagrams_per_read` datagrams, are read before other coroutines run. What does not fit
+// into a socket's buffer is dropped (datagrams), or queued up to `max_queued_bytes` and the connection closed
+// beyond that.
 //
-// Threads: the constructor starts nothing. start() and stop() by one thread, not the link's own; from_core(),
-// reschedule(), kept() and figures() by any. Driver and callbacks are called on the link's thread alone and
-// must not block. Errors: LinkError of start(), which names the address. What a driver throws ends the link:
-// it is logged as `fleet_link_failed`, figures say so, and the rest of the process goes on without a fleet.
+// Threads: the constructor starts nothing. start() and stop() are called by one thread, not the link's own;
+// from_core(), reschedule(), incarnation_persisted() and figures() by any, and they never wait for the link.
+// The driver and the callbacks are called on the link's thread only and must not block.
+//
+// Errors: start()
+// throws LinkError, which names the address. An exception from the driver ends the link: it is logged as
+// `fleet_link_failed` and shown by figures(), and the rest of the process continues without a fleet.
 #pragma once
 
 #include <cstddef>
@@ -30,48 +35,49 @@
 
 namespace reeltack::fleet::link {
 
-// What decides: fleet::Coordinator behind an adapter, or a test's script.
+// Decides what the link does: fleet::Coordinator behind an adapter, or a test's script.
 class Driver {
  public:
   Driver() = default;
   Driver(const Driver&) = delete;
   Driver& operator=(const Driver&) = delete;
   virtual ~Driver() = default;
-  virtual void begin(Time now, CoordinatorActions& actions) = 0;  // the link is up
+  virtual void begin(Time now, CoordinatorActions& actions) = 0;  // the link has started
   virtual void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) = 0;
   virtual void tick(Time now, CoordinatorActions& actions) = 0;
   virtual void leave(Time now, CoordinatorActions& actions) = 0;
-  [[nodiscard]] virtual Time next() const = 0;  // when tick() is due; at most once a millisecond
+  // When tick() is due. It is called at most once per millisecond.
+  [[nodiscard]] virtual Time next() const = 0;
 };
 
 struct LinkSettings {
-  Endpoint listen;                   // of datagrams and connections both
-  std::map<MemberId, Endpoint> via;  // who is reached through another address, whatever an action names
+  Endpoint listen;                   // for both datagrams and connections
+  std::map<MemberId, Endpoint> via;  // overrides the address in an action
   Duration dial_timeout = std::chrono::milliseconds(500);
-  Duration idle_timeout = std::chrono::seconds(2);  // from one whole frame to the next
+  Duration idle_timeout = std::chrono::seconds(2);  // from one complete frame to the next
   Duration hang_up_timeout = std::chrono::milliseconds(500);
   Duration leave_timeout = std::chrono::milliseconds(200);
-  std::size_t most_connections = 32;
-  std::size_t max_accepted = 24;                          // of these; the rest is kept for what is dialled
-  std::size_t max_accepted_per_address = 4;               // accepted
-  std::size_t max_frames = 16;                            // of a peer on one connection
-  std::size_t max_queued_bytes = std::size_t{64} * 1024;  // bytes, a connection
+  std::size_t max_connections = 32;
+  std::size_t max_accepted = 24;             // of max_connections; the rest is reserved for dialled ones
+  std::size_t max_accepted_per_address = 4;  // from one IPv4 address
+  std::size_t max_frames = 16;               // received on one connection
+  std::size_t max_queued_bytes = std::size_t{64} * 1024;  // per connection
   std::size_t max_datagrams_per_read = 64;
   std::size_t max_datagrams_before_tick = 256;
   std::size_t max_core_events = 1024;
 };
 
 struct LinkFigures {
-  std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0;  // bytes: of payloads
+  std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0;  // payload bytes
   std::uint64_t exchange_frames_in = 0, exchange_frames_out = 0, exchange_bytes_in = 0,
                 exchange_bytes_out = 0;
-  std::uint64_t dialled = 0, accepted = 0, connections = 0;  // connections: now
-  std::uint64_t refused = 0;                                 // connections beyond the bounds
+  std::uint64_t dialled = 0, accepted = 0, connections = 0;  // connections: currently open
+  std::uint64_t refused = 0;                                 // connections rejected at a bound
   std::uint64_t malformed = 0;                               // datagrams and frames
-  std::uint64_t overflowed = 0;  // connections closed since their peer did not read
-  std::uint64_t not_sent = 0;    // datagrams the socket did not take, or too long
+  std::uint64_t overflowed = 0;  // connections closed because their send queue was full
+  std::uint64_t not_sent = 0;    // datagrams too long or not taken by the socket
   std::uint64_t core_dropped = 0;
-  Duration cpu{};  // of the link's thread, at its last tick
+  Duration cpu{};  // CPU time of the link's thread as of its last tick
   bool failed = false;
 };
 
@@ -80,7 +86,7 @@
   using std::runtime_error::runtime_error;
 };
 
-struct LinkCallbacks {  // on the link's thread; each may be empty
+struct LinkCallbacks {  // called on the link's thread; each may be empty
   std::function<void(recovery::Terms)> to_core;
   std::function<void(Store)> to_store;
   std::function<void(Log)> log;
@@ -89,17 +95,17 @@
 class Link {
  public:
   Link(LinkSettings settings, Driver& driver, LinkCallbacks outward);
-  ~Link();  // stops
+  ~Link();  // calls stop()
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  void start();  // once; throws LinkError where the address cannot be had
-  // Leaves in order: the driver's last actions are carried out, what is queued is written, for leave_timeout
-  // at most; then the thread is joined and the sockets are closed.
+  void start();  // once only; throws LinkError if the address cannot be bound
+  // Leaves in order: carries out the driver's last actions and writes what is queued, for at most
+  // leave_timeout; then joins the thread and closes the sockets.
   void stop();
-  void from_core(recovery::Event event);  // never blocks; what finds the queue full is dropped and counted
-  void reschedule();                      // the driver's next() may be earlier now; never blocks
-  void incarnation_persisted(Incarnation to);  // the store holds it
+  void from_core(recovery::Event event);  // never blocks; dropped and counted if the queue is full
+  void reschedule();  // reads the driver's next() again, which may be earlier now; never blocks
+  void incarnation_persisted(Incarnation to);  // the store now holds it durably
   [[nodiscard]] LinkFigures figures() const;
 
  private:
--- a/src/fleet/link/task.h
+++ b/src/fleet/link/task.h
@@ -1,6 +1,5 @@
-// What the link's tasks have in common.
-//
-// Owns: nothing. Must never: be included beyond this folder.
+// Shared helpers of the link's coroutines: counters, context and asio shorthands. Private to this
+// folder.
 #pragma once
 
 #include <asio.hpp>
@@ -13,10 +12,10 @@
 namespace reeltack::fleet::link {
 
 using Clock = asio::steady_timer::clock_type;
-using Tell = std::function<void(CoordinatorEvent)>;
-using Say = std::function<void(Log)>;
+using ReportEvent = std::function<void(CoordinatorEvent)>;
+using WriteLog = std::function<void(Log)>;
 
-struct Counters {  // written by the link's thread, read by any
+struct LinkCounters {  // written by the link's thread, read by any thread
   std::atomic<std::uint64_t> datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0;
   std::atomic<std::uint64_t> frames_in = 0, frames_out = 0, frame_bytes_in = 0, frame_bytes_out = 0;
   std::atomic<std::uint64_t> dialled = 0, accepted = 0, connections = 0, refused = 0, malformed = 0,
@@ -24,19 +23,20 @@
   std::atomic<std::int64_t> cpu = 0;  // ns
   std::atomic<bool> failed = false;
 };
-inline void count(std::atomic<std::uint64_t>& of, std::uint64_t more = 1) {
-  of.fetch_add(more, std::memory_order_relaxed);
+inline void count(std::atomic<std::uint64_t>& counter, std::uint64_t by = 1) {
+  counter.fetch_add(by, std::memory_order_relaxed);
 }
 
-struct TaskContext {  // of every task; they outlive the tasks
+struct TaskContext {  // shared by all coroutines, which it outlives
   asio::io_context& io;
   const LinkSettings& settings;
-  Counters& counters;
-  Tell tell;
-  Say say;
+  LinkCounters& counters;
+  ReportEvent report_event;
+  WriteLog write_log;
 };
 
-// What a task throws reaches the thread's own handler.
+// Starts a coroutine. An exception from it leaves io_context::run() and so reaches the handler of the link's
+// thread.
 inline void spawn(asio::io_context& io, asio::awaitable<void> task) {
   asio::co_spawn(io, std::move(task), [](const std::exception_ptr& error) {
     if (error) std::rethrow_exception(error);
@@ -44,10 +44,11 @@
 }
 inline auto with(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 inline asio::ip::address address_of(Endpoint at) { return asio::ip::address_v4(at.address); }
-// Where the member is reached, the operator's way round before what an action names.
-inline Endpoint way_to(const LinkSettings& settings, MemberId member, Endpoint named) {
+// The address at which to reach a member: the configured `via` address if there is one, else the address in
+// the action.
+inline Endpoint route_to(const LinkSettings& settings, MemberId member, Endpoint address) {
   const auto via = settings.via.find(member);
-  return via == settings.via.end() ? named : via->second;
+  return via == settings.via.end() ? address : via->second;
 }
 
 }  // namespace reeltack::fleet::link
--- a/src/fleet/link/to_wire.cpp
+++ b/src/fleet/link/to_wire.cpp
@@ -1,4 +1,4 @@
-// The fleet's messages as protoc's types. Must never let a broken bound out.
+// Conversion of the fleet's messages to protobuf messages. Checks the bounds first.
 #include <algorithm>
 
 #include "fleet/link/checks.h"
@@ -53,11 +53,11 @@
   return out;
 }
 
-wire::News to_wire(const news::Message& news) {
-  check_bounds(news);
+wire::News to_wire(const news::Message& push) {
+  check_bounds(push);
   wire::News out;
-  write(news.envelope, *out.mutable_envelope());
-  for (const facts::Fact& f : news.facts) {
+  write(push.envelope, *out.mutable_envelope());
+  for (const facts::Fact& f : push.facts) {
     wire::NewsFact& to = *out.add_facts();
     to.set_owner(static_cast<std::uint64_t>(f.owner));
     to.set_incarnation(f.incarnation);
@@ -77,23 +77,23 @@
     if (e.digest.buckets != digest.buckets()) digest.set_buckets(e.digest.buckets);
     if (e.digest.listed_only) digest.set_listed_only(true);
   }
-  const bool floors = std::any_of(e.digest.known.begin(), e.digest.known.end(),
-                                  [](const facts::Known& known) { return known.floor != 0; });
+  const bool has_floors = std::any_of(e.digest.known.begin(), e.digest.known.end(),
+                                      [](const facts::Known& known) { return known.floor != 0; });
   for (const facts::Known& known : e.digest.known) {
-    if (floors) out.mutable_digest()->add_floors(known.floor);
+    if (has_floors) out.mutable_digest()->add_floors(known.floor);
     out.mutable_digest()->add_owners(static_cast<std::uint64_t>(known.owner));
     out.mutable_digest()->add_incarnations(known.incarnation);
     out.mutable_digest()->add_highest(known.highest);
   }
-  for (const facts::OwnerDelta& of : e.delta.owners) {
+  for (const facts::OwnerDelta& part : e.delta.owners) {
     wire::OwnerDelta& to = *out.add_owners();
-    to.set_owner(static_cast<std::uint64_t>(of.owner));
-    to.set_incarnation(of.incarnation);
-    if (of.whole) to.set_whole(true);
-    if (of.floor != 0) to.set_floor(of.floor);
-    if (of.more) to.set_more(true);
-    if (of.after != 0) to.set_after(of.after);
-    for (const facts::Fact& f : of.facts) write(f, *to.add_facts());
+    to.set_owner(static_cast<std::uint64_t>(part.owner));
+    to.set_incarnation(part.incarnation);
+    if (part.whole) to.set_whole(true);
+    if (part.floor != 0) to.set_floor(part.floor);
+    if (part.more) to.set_more(true);
+    if (part.after != 0) to.set_after(part.after);
+    for (const facts::Fact& f : part.facts) write(f, *to.add_facts());
   }
   return out;
 }
--- a/src/fleet/link/udp.h
+++ b/src/fleet/link/udp.h
@@ -1,6 +1,7 @@
-// The task of datagrams.
+// The UDP socket of the link and the coroutine that reads it.
 //
-// Owns: the UDP socket. Must never: wait for a socket that takes nothing, or read without a bound.
+// Sending never waits: a datagram that the socket does not accept is dropped and counted. The number of
+// datagrams read at once is bounded. Runs on the link's thread only.
 #pragma once
 
 #include <vector>
@@ -11,24 +12,25 @@
 
 class UdpTask {
  public:
-  explicit UdpTask(TaskContext around);
+  explicit UdpTask(TaskContext context);
   void open();  // throws std::system_error
   void start();
-  void send(const SendMembership& datagram);
-  void send(const SendPush& news);
-  // Reads and tells what lies in the socket. False: this host has no memory to read it now.
-  bool drain(std::size_t most);
+  void send(const SendMembership& message);
+  void send(const SendPush& push);
+  // Reads at most `max` datagrams from the socket and reports them. Returns false if the host lacks the
+  // memory to read.
+  bool drain(std::size_t max);
   void close();
 
  private:
   asio::awaitable<void> run();
-  void take(std::string_view bytes);
-  template <class Sent>
-  void carry(const Sent& sent);
+  void handle(std::string_view bytes);
+  template <class Datagram>
+  void send_encoded(const Datagram& datagram);
 
-  TaskContext around_;
+  TaskContext context_;
   asio::ip::udp::socket socket_;
-  asio::steady_timer pause_;
+  asio::steady_timer retry_timer_;
   std::vector<char> buffer_;
 };
 
--- a/src/fleet/link/wire.h
+++ b/src/fleet/link/wire.h
@@ -1,6 +1,4 @@
-// Between the fleet's own types and those that protoc makes of fleet.proto.
-//
-// Owns: presence, unknown fields and ranges of each field. Must never: be included beyond this folder.
+// Conversion between the fleet's own types and the types generated from fleet.proto. Private to this folder.
 #pragma once
 
 #include "fleet.pb.h"
@@ -8,14 +6,16 @@
 
 namespace reeltack::fleet::link {
 
-inline bool known(std::uint32_t version) { return version >= kOldestVersion && version <= kNewestVersion; }
-// All throw CodecError that names the field.
+inline bool is_supported(std::uint32_t version) {
+  return version >= kOldestVersion && version <= kNewestVersion;
+}
+// The conversions check presence, unknown fields and ranges, and throw a CodecError that names the field.
 wire::Message to_wire(const members::Message& message);
-wire::News to_wire(const news::Message& news);
+wire::News to_wire(const news::Message& push);
 wire::Exchange to_wire(const Exchange& exchange);
-Envelope from_wire(const wire::Envelope& envelope);  // of any version
+Envelope from_wire(const wire::Envelope& envelope);  // accepts any version
 members::Message from_wire(const wire::Message& message);
-news::Message from_wire(const wire::News& news);
+news::Message from_wire(const wire::News& push);
 Exchange from_wire(const wire::Exchange& exchange);
 
 }  // namespace reeltack::fleet::link
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -64,7 +64,8 @@
     for (const facts::OwnerDelta& of : exchange.delta.owners) parts += of.facts.size();
     const std::size_t estimate =
         facts::encoded(exchange.summary) + facts::encoded(exchange.digest) + facts::encoded(exchange.delta);
-    EXPECT_LE(wire_size(exchange), kMostHead + estimate + kPartOverheadBytes * parts) << "exchange " << i;
+    EXPECT_LE(wire_size(exchange), kExchangeOverheadBytes + estimate + kPartOverheadBytes * parts)
+        << "exchange " << i;
     ASSERT_FALSE(HasFailure()) << "seed " << kSeed;
   }
 }
@@ -108,7 +109,7 @@
   EXPECT_EQ(error({"\x78\x01", 2}), "message: unknown fields of 2 bytes");
   EXPECT_EQ(error({"\x32\x02\x18\x01", 4}), "updates[0].member: missing");
   EXPECT_EQ(error({"\x10\x06", 2}), "kind: unknown: 6");
-  EXPECT_EQ(error({"\x32\x7f", 2}), "message: no message of the protocol");
+  EXPECT_EQ(error({"\x32\x7f", 2}), "message: not a message of the protocol");
   // News, as a program reads it that does not know of it; and news without what it must have.
   news::Message news = random.push();
   news.facts.resize(1);
@@ -144,7 +145,7 @@
   m.updates.assign(1, plain(std::string(65, 'n')));
   EXPECT_EQ(error(m), "updates[0].name: 65 bytes, 64 at most");
   m.updates[0].name = "\xc3";
-  EXPECT_EQ(error(m), "updates[0].name: no UTF-8");
+  EXPECT_EQ(error(m), "updates[0].name: not valid UTF-8");
 
   news::Message news;
   EXPECT_EQ(error(news), "facts: none");
@@ -153,7 +154,7 @@
   news.facts.resize(1);
   EXPECT_EQ(error(news), "");
   news.facts[0].key.kind = facts::Kind::list;
-  EXPECT_EQ(error(news), "facts[0].kind: no news: 2");
+  EXPECT_EQ(error(news), "facts[0].kind: not allowed in a push: 2");
   news.facts[0].key.kind = facts::Kind::office;
   news.facts[0].value = std::string(513, 'v');
   EXPECT_EQ(error(news), "facts[0].value: 513 bytes");
@@ -180,7 +181,7 @@
   EXPECT_EQ(error(e), "owners[0].facts[0].kind: unknown: 65");
   fact.key.kind = facts::Kind::list;
   fact.owner = MemberId{2};
-  EXPECT_EQ(error(e), "owners[0].facts[0].owner: not the part's");
+  EXPECT_EQ(error(e), "owners[0].facts[0].owner: differs from the owner of its part");
   fact.owner = MemberId{1};
   fact.value = std::string(4096, 'v');
   e.delta.owners[0].facts.assign(4, fact);
--- a/tests/fleet/link_rig.h
+++ b/tests/fleet/link_rig.h
@@ -45,7 +45,7 @@
     f.owner = MemberId{from};
     f.version = v;
     f.key.kind = facts::Kind::list;
-    f.value.assign(kMostValue, 'v');
+    f.value.assign(kMaxFactValueBytes, 'v');
   }
   return e;
 }
