--- a/src/fleet/service/counters.cpp
+++ b/src/fleet/service/counters.cpp
@@ -1,16 +1,16 @@
-// One writer's totals. Must never: take a lock.
+// Implementation of ObservationCounters. Takes no lock.
 #include "fleet/service/counters.h"
 
 namespace reeltack::fleet {
 namespace {
-constexpr std::int64_t kKinds = 4;
-// No two threads write: what others do between the load and the store cannot be lost.
-void grow(std::atomic<std::uint32_t>& total, std::uint32_t by) {
+constexpr std::int64_t kLivenessValues = 4;
+// There is only one writer, so no change by another thread can be lost between the load and the store.
+void increase(std::atomic<std::uint32_t>& total, std::uint32_t by) {
   if (by != 0) total.store(total.load(std::memory_order_relaxed) + by, std::memory_order_relaxed);
 }
 }  // namespace
 
-bool Counters::add(Time now, ServerId id, sums::Outcome outcome) {
+bool ObservationCounters::add(Time now, ServerId id, sums::Outcome outcome) {
   auto found = slots_.find(id);
   if (found == slots_.end()) {
     const std::size_t at = used_.load(std::memory_order_relaxed);
@@ -23,27 +23,28 @@
   }
   Slot& slot = *found->second;
   const sums::Effect effect = sums::effect_of(outcome);
-  grow(slot.stood, effect.established);
-  grow(slot.refused, effect.refused);
-  grow(slot.failed, effect.failed);
+  increase(slot.established, effect.established);
+  increase(slot.refused, effect.refused);
+  increase(slot.failed, effect.failed);
   if (effect.liveness == sums::Liveness::unknown) return false;
-  slot.shown.store(now.time_since_epoch().count() * kKinds + static_cast<std::int64_t>(effect.liveness),
-                   std::memory_order_release);
-  return slot.alarm.fires(now, effect.liveness);
+  slot.last_liveness.store(
+      now.time_since_epoch().count() * kLivenessValues + static_cast<std::int64_t>(effect.liveness),
+      std::memory_order_release);
+  return slot.urgency.fires(now, effect.liveness);
 }
 
-void Counters::read(std::vector<sums::Totals>& out) const {
+void ObservationCounters::read(std::vector<sums::Totals>& out) const {
   out.resize(used_.load(std::memory_order_acquire));
   for (std::size_t at = 0; at < out.size(); ++at) {
     const Slot& slot = (*blocks_[at / kBlock])[at % kBlock];
-    const std::int64_t shown = slot.shown.load(std::memory_order_acquire);
+    const std::int64_t last_liveness = slot.last_liveness.load(std::memory_order_acquire);
     sums::Totals& totals = out[at];
     totals.office = slot.office;
-    totals.established = slot.stood.load(std::memory_order_relaxed);
+    totals.established = slot.established.load(std::memory_order_relaxed);
     totals.refused = slot.refused.load(std::memory_order_relaxed);
     totals.failed = slot.failed.load(std::memory_order_relaxed);
-    totals.liveness = static_cast<sums::Liveness>(shown % kKinds);
-    totals.at = Time{Duration{shown / kKinds}};
+    totals.liveness = static_cast<sums::Liveness>(last_liveness % kLivenessValues);
+    totals.at = Time{Duration{last_liveness / kLivenessValues}};
   }
 }
 
--- a/src/fleet/service/counters.h
+++ b/src/fleet/service/counters.h
@@ -1,12 +1,11 @@
-// What the core saw of each office, counted where two threads meet without waiting for one another.
+// Counts per office what the core observed of it; passes the totals from the core's thread to the link's.
 //
-// Owns: a table of totals that one thread writes and one reads, without a lock. Must never: make the writer
-// wait for the reader, whatever the reader does; forget an office; take memory beyond kMaxOffices.
+// A table with one writer and one reader and no lock: the writer never waits for the reader. Only the writer
+// adds offices (in blocks, allocated as needed), and only it changes a total, so a load and a store suffice.
+// The reader may observe the parts of one outcome separately; each total is correct by its next reading at
+// the latest. Offices are never removed, and beyond kMaxOffices further ones are not counted.
 //
-// The writer alone adds offices (in blocks, allocated as they are needed) and is the only one that writes a
-// total, so that a load and a store do. The reader may see an outcome's parts apart from one another; each
-// total is right at the latest at its next reading. Beyond kMaxOffices further offices are not counted.
-// Threads: add() by the core's alone, read() by the link's alone.
+// Threads: add() by the core's only, read() by the link's only.
 #pragma once
 
 #include <array>
@@ -19,23 +18,23 @@
 
 namespace reeltack::fleet {
 
-class Counters {
+class ObservationCounters {
  public:
-  bool add(Time now, ServerId id, sums::Outcome outcome);  // true: it cannot wait, see sums::UrgencyTrigger
-  void read(std::vector<sums::Totals>& out) const;         // all of them, into place
+  bool add(Time now, ServerId id, sums::Outcome outcome);  // true: report at once, see sums::UrgencyTrigger
+  void read(std::vector<sums::Totals>& out) const;         // replaces the contents of `out`
 
  private:
   struct Slot {
-    ServerId office{};  // written before the slot is shown, never after
-    std::atomic<std::uint32_t> stood{0}, refused{0}, failed{0};
-    std::atomic<std::int64_t> shown{0};  // the time in nanoseconds, times 4, and what was shown
-    sums::UrgencyTrigger alarm;          // the writer's
+    ServerId office{};  // not changed once the slot is published
+    std::atomic<std::uint32_t> established{0}, refused{0}, failed{0};
+    std::atomic<std::int64_t> last_liveness{0};  // time in nanoseconds * 4 + sums::Liveness
+    sums::UrgencyTrigger urgency;                // used by the writer only
   };
   static constexpr std::size_t kBlock = 64;
   using Block = std::array<Slot, kBlock>;
   std::array<std::unique_ptr<Block>, sums::kMaxOffices / kBlock> blocks_;
-  std::atomic<std::size_t> used_{0};           // slots that the reader may look at
-  std::unordered_map<ServerId, Slot*> slots_;  // the writer's
+  std::atomic<std::size_t> used_{0};           // number of slots published to the reader
+  std::unordered_map<ServerId, Slot*> slots_;  // used by the writer only
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/keeping.cpp
@@ -1,3 +1,4 @@
+// Implementation of FleetStorage.
 #include "fleet/service/keeping.h"
 
 #include <charconv>
@@ -14,18 +15,19 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kFirstKept =
-    500ms;  // the own incarnation is durable before anybody is told of it, or it is said
+// How long a start waits for its own incarnation to become durable before other members learn of it. After
+// that the start goes on and logs that the incarnation is not durable.
+constexpr auto kInitialWriteTimeout = 500ms;
 
-constexpr Duration kLookAgain = 10ms;          // while the store is at work
-constexpr Duration kLookAgainFailing = 250ms;  // while it cannot be written
+constexpr Duration kRetryInterval = 10ms;          // while the store works
+constexpr Duration kFailingRetryInterval = 250ms;  // while it cannot be written
 
 bool is_promise(const std::string& key) {
   return key == kIncarnationKey || key == drift::kVoteRecord || key == drift::kHeldRecord ||
          key == drift::kApprovedRecord;
 }
 
-Incarnation number_of(const std::string& text) {
+Incarnation parse_incarnation(const std::string& text) {
   Incarnation out = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
   return error == std::errc{} && end == text.data() + text.size() ? out : 0;
@@ -33,12 +35,13 @@
 
 }  // namespace
 
-FleetStorage::FleetStorage(const config::Controllers& settings, const std::string& owner, Say say)
-    : fleet_(settings.fleet), owner_(owner), say_(std::move(say)) {
+FleetStorage::FleetStorage(const config::Controllers& settings, const std::string& owner, LogEvent log_event)
+    : fleet_(settings.fleet), owner_(owner), log_event_(std::move(log_event)) {
   Moment now{base::wall_now(), base::boot_now()};
   now.wall += settings.wall_offset;
   now.since_boot.since_boot += settings.wall_offset;
-  // Above what any earlier start has taken, where neither a store nor another member knows of it.
+  // Seconds of the wall clock: higher than the incarnation of any earlier run even if neither the store nor
+  // another member knows that one.
   incarnation_ = static_cast<Incarnation>(std::max<std::int64_t>(
       1, std::chrono::duration_cast<std::chrono::seconds>(now.wall.time_since_epoch()).count()));
   if (settings.store.empty()) return;
@@ -53,31 +56,35 @@
   store::Opened opened = store::open_or_read(where);
   if (opened.how == store::Opened::How::refused) throw std::runtime_error(opened.why);
   read(opened.kept, now);
-  say_("store", std::string("dir=\"") + settings.store + "\" how=" + std::string(store::name(opened.how)) +
-                    " records=" + std::to_string(opened.kept.size()) + " foreign=" +
-                    std::to_string(opened.foreign) + " incarnation=" + std::to_string(incarnation_) +
-                    (opened.why.empty() ? "" : " why=\"" + opened.why + "\"") +
-                    (opened.where.empty() ? "" : " aside=\"" + opened.where + "\""));
-  store::KeeperSettings keeper;
-  keeper.told = [say = say_](const store::KeeperEvent& event) { say("store", to_text(event)); };
-  keeper.found = [this](const std::vector<store::Kept>& records) {
-    const std::lock_guard lock(late_mutex_);
-    late_ = records;
+  log_event_("store", std::string("dir=\"") + settings.store +
+                          "\" how=" + std::string(store::name(opened.how)) + " records=" +
+                          std::to_string(opened.kept.size()) + " foreign=" + std::to_string(opened.foreign) +
+                          " incarnation=" + std::to_string(incarnation_) +
+                          (opened.why.empty() ? "" : " why=\"" + opened.why + "\"") +
+                          (opened.where.empty() ? "" : " aside=\"" + opened.where + "\""));
+  store::KeeperSettings store_settings;
+  store_settings.told = [log_event = log_event_](const store::KeeperEvent& event) {
+    log_event("store", to_text(event));
   };
-  unread_ = opened.store == nullptr;
+  store_settings.found = [this](const std::vector<store::Kept>& records) {
+    const std::lock_guard lock(late_records_mutex_);
+    late_records_ = records;
+  };
+  store_unread_ = opened.store == nullptr;
   const std::vector<store::Kept> found = std::move(opened.kept);
-  keeper_ = std::make_unique<store::Keeper>(where, std::move(opened), std::move(keeper));
+  store_ = std::make_unique<store::Keeper>(where, std::move(opened), std::move(store_settings));
   for (const store::Kept& r : found)
-    if (is_promise(r.key) && r.fleet == fleet_ && r.owner == owner_) keeper_->remember(r.key, r.value);
+    if (is_promise(r.key) && r.fleet == fleet_ && r.owner == owner_) store_->remember(r.key, r.value);
   put(Store{kIncarnationKey, std::to_string(incarnation_), std::nullopt});
-  asked_ = 0;
-  asked_since_.reset();
-  if (!keeper_->flush(kFirstKept) || !incarnation_is_durable())
-    say_("store", "durable=no incarnation=" + std::to_string(incarnation_) +
-                      " text=\"used all the same; it is written as soon as the store can be\"");
+  requested_incarnation_ = 0;
+  requested_since_.reset();
+  if (!store_->flush(kInitialWriteTimeout) || !incarnation_is_durable())
+    log_event_("store", "durable=no incarnation=" + std::to_string(incarnation_) +
+                            " text=\"used all the same; it is written as soon as the store can be\"");
 }
 
-// A copied disk tells of another controller: what it says of offices counts as the oldest, its numbers not.
+// A disk copied from another controller: its records about offices count as the oldest, its incarnation and
+// vote not at all.
 void FleetStorage::read(const std::vector<store::Kept>& records, const Moment& now) {
   bool other_fleet = false;
   std::vector<recovery::Record> out;
@@ -87,133 +94,138 @@
     recovery::Record record{r.key, r.value, std::nullopt};
     if (own) record.age = clocks::elapsed(r.written_since_boot, now.since_boot);
     if (own && r.written_at <= now.wall) record.wall_clock_age = now.wall - r.written_at;
-    if (r.key == kIncarnationKey && own) incarnation_ = std::max(incarnation_, number_of(r.value) + 1);
-    if (r.key == kMembersKey && r.fleet == fleet_) members_ = parse_members(r.value);
+    if (r.key == kIncarnationKey && own)
+      incarnation_ = std::max(incarnation_, parse_incarnation(r.value) + 1);
+    if (r.key == kMembersKey && r.fleet == fleet_) known_members_ = parse_members(r.value);
     if (r.key == drift::kVoteRecord && own) rules_.vote = r.value;
     if (r.key == drift::kHeldRecord && own) rules_.held = r.value;
     if (r.key == drift::kApprovedRecord && r.fleet == fleet_) rules_.approved = r.value;
     out.push_back(std::move(record));
   }
-  if (other_fleet) members_.clear();
-  kept_ = recovery::read_stored_state(out, other_fleet);
+  if (other_fleet) known_members_.clear();
+  persisted_state_ = recovery::read_stored_state(out, other_fleet);
 }
 
 void FleetStorage::put(const Store& what) {
   if (what.vote) {
-    vote_ = what.vote;
+    pending_vote_ = what.vote;
     vote_change_ = 0;
   }
   if (what.key == drift::kHeldRecord) held_change_ = 0;
   if (what.key == kIncarnationKey) {
-    asked_ = number_of(what.value);
-    asked_since_.reset();
-    change_ = 0;
+    requested_incarnation_ = parse_incarnation(what.value);
+    requested_since_.reset();
+    incarnation_change_ = 0;
   }
-  if (!keeper_) return;
+  if (!store_) return;
   if (!is_promise(what.key)) {
-    keeper_->put(what.key, what.value);
+    store_->put(what.key, what.value);
     return;
   }
   pending_.insert_or_assign(what.key, what);
-  hand_over();
+  write_pending();
 }
 
-// What the keeper refuses (its queue is full) stays pending, and what the store may hold already is not
-// written over before it has been read.
-void FleetStorage::hand_over() {
-  take_late();
-  if (unread_) return;
+// A promise that the store refuses because its queue is full stays pending. Nothing is written before the
+// store has been read, because that could overwrite promises of an earlier run.
+void FleetStorage::write_pending() {
+  read_late_records();
+  if (store_unread_) return;
   for (auto at = pending_.begin(); at != pending_.end();) {
     const Store& promise = at->second;
-    if (!stands_against(promise)) {
+    if (!is_superseded(promise)) {
       const bool own = promise.key == kIncarnationKey;
-      const Incarnation to = own ? std::max(number_of(promise.value), earlier_incarnation_) : 0;
-      const std::uint64_t change = keeper_->put(promise.key, own ? std::to_string(to) : promise.value);
+      const Incarnation to = own ? std::max(parse_incarnation(promise.value), earlier_incarnation_) : 0;
+      const std::uint64_t change = store_->put(promise.key, own ? std::to_string(to) : promise.value);
       if (change == 0) return;
       if (promise.vote) vote_change_ = change;
-      if (own) change_ = change;
+      if (own) incarnation_change_ = change;
       if (promise.key == drift::kHeldRecord) held_change_ = change;
     } else if (promise.vote) {
-      vote_.reset();
-      say_("store", "vote=none epoch=" + std::to_string(promise.vote->vote.epoch) +
-                        " text=\"an earlier life has voted in this epoch already\"");
+      pending_vote_.reset();
+      log_event_("store", "vote=none epoch=" + std::to_string(promise.vote->vote.epoch) +
+                              " text=\"an earlier run has voted in this epoch already\"");
     }
     at = pending_.erase(at);
   }
 }
 
-// An earlier life's vote or approved version, found late, holds against one of the same epoch or a lower one.
-bool FleetStorage::stands_against(const Store& promise) const {
-  if (promise.vote) return promise.vote->vote.epoch <= earlier_.vote.epoch;
+// A vote or approved version of an earlier run that was found late takes precedence over a promise of the
+// same or a lower epoch.
+bool FleetStorage::is_superseded(const Store& promise) const {
+  if (promise.vote) return promise.vote->vote.epoch <= earlier_promises_.vote.epoch;
   const bool held = promise.key == drift::kHeldRecord;
   if (!held && promise.key != drift::kApprovedRecord) return false;
   const auto version = drift::read_version(promise.value);
-  return version && version->epoch <= (held ? earlier_.vote.epoch : earlier_.approved.epoch);
+  return version &&
+         version->epoch <= (held ? earlier_promises_.vote.epoch : earlier_promises_.approved.epoch);
 }
 
-void FleetStorage::take_late() {
-  if (!unread_) return;
+void FleetStorage::read_late_records() {
+  if (!store_unread_) return;
   std::optional<std::vector<store::Kept>> found;
   {
-    const std::lock_guard lock(late_mutex_);
-    found = std::exchange(late_, std::nullopt);
+    const std::lock_guard lock(late_records_mutex_);
+    found = std::exchange(late_records_, std::nullopt);
   }
   if (!found) return;
-  unread_ = false;
-  resolve(*found);
+  store_unread_ = false;
+  apply_earlier_promises(*found);
 }
 
-void FleetStorage::resolve(const std::vector<store::Kept>& found) {
+void FleetStorage::apply_earlier_promises(const std::vector<store::Kept>& found) {
   for (const store::Kept& r : found) {
     if (r.fleet != fleet_ || r.owner != owner_ || !is_promise(r.key)) continue;
-    keeper_->remember(r.key, r.value);
-    if (r.key == drift::kVoteRecord) earlier_.vote = drift::read_vote(r.value).value_or(drift::Vote{}).vote;
+    store_->remember(r.key, r.value);
+    if (r.key == drift::kVoteRecord)
+      earlier_promises_.vote = drift::read_vote(r.value).value_or(drift::Vote{}).vote;
     if (r.key == drift::kApprovedRecord)
-      if (const auto version = drift::read_version(r.value)) earlier_.approved = name_of(*version);
-    if (r.key == kIncarnationKey) earlier_incarnation_ = number_of(r.value);
+      if (const auto version = drift::read_version(r.value)) earlier_promises_.approved = name_of(*version);
+    if (r.key == kIncarnationKey) earlier_incarnation_ = parse_incarnation(r.value);
   }
 }
 
-bool FleetStorage::incarnation_is_durable() const { return keeper_->is_durable(kIncarnationKey, change_); }
+bool FleetStorage::incarnation_is_durable() const {
+  return store_->is_durable(kIncarnationKey, incarnation_change_);
+}
 
-// A vote is worth what the version is that it is for. Records of other keys may wait for room in the store.
+// A vote is useless without the version that it is for, so both must be durable. Records of other keys may
+// still wait for space in the store.
 bool FleetStorage::vote_is_durable() const {
-  const bool held = held_change_ == 0 || keeper_->is_durable(drift::kHeldRecord, held_change_);
-  return held && keeper_->is_durable(drift::kVoteRecord, vote_change_);
+  const bool held = held_change_ == 0 || store_->is_durable(drift::kHeldRecord, held_change_);
+  return held && store_->is_durable(drift::kVoteRecord, vote_change_);
 }
 
 std::optional<drift::Vote> FleetStorage::take_durable_vote() {
-  if (!vote_ || !keeper_) return std::nullopt;
-  hand_over();
-  if (!vote_ || !vote_is_durable()) return std::nullopt;
-  return std::exchange(vote_, std::nullopt);
+  if (!pending_vote_ || !store_) return std::nullopt;
+  write_pending();
+  if (!pending_vote_ || !vote_is_durable()) return std::nullopt;
+  return std::exchange(pending_vote_, std::nullopt);
 }
 
 std::optional<Incarnation> FleetStorage::take_durable_incarnation(Time now) {
-  if (asked_ == 0) return std::nullopt;
-  // Where nothing is kept there is nothing to wait for: the next start takes a higher one by the clock.
-  if (!keeper_) return std::exchange(asked_, 0);
-  hand_over();
-  if (!asked_since_) asked_since_ = now;
+  if (requested_incarnation_ == 0) return std::nullopt;
+  // Without a store there is nothing to wait for: the next run takes a higher incarnation from the clock.
+  if (!store_) return std::exchange(requested_incarnation_, 0);
+  write_pending();
+  if (!requested_since_) requested_since_ = now;
   if (!incarnation_is_durable()) {
-    if (now - *asked_since_ < kMaxDurabilityWait) return std::nullopt;
-    say_("store", "durable=no incarnation=" + std::to_string(asked_) +
-                      " text=\"used all the same; it is written as soon as the store can be\"");
+    if (now - *requested_since_ < kMaxDurabilityWait) return std::nullopt;
+    log_event_("store", "durable=no incarnation=" + std::to_string(requested_incarnation_) +
+                            " text=\"used all the same; it is written as soon as the store can be\"");
   }
-  return std::exchange(asked_, 0);
+  return std::exchange(requested_incarnation_, 0);
 }
 
 std::optional<Duration> FleetStorage::retry_interval() const {
-  if (asked_ == 0 && (!keeper_ || (!vote_ && pending_.empty()))) return std::nullopt;
-  return keeper_ && keeper_->counts().failing ? kLookAgainFailing : kLookAgain;
+  if (requested_incarnation_ == 0 && (!store_ || (!pending_vote_ && pending_.empty()))) return std::nullopt;
+  return store_ && store_->counts().failing ? kFailingRetryInterval : kRetryInterval;
 }
 
 void FleetStorage::flush(std::chrono::milliseconds within) {
-  if (keeper_) static_cast<void>(keeper_->flush(within));
+  if (store_) static_cast<void>(store_->flush(within));
 }
 
-store::KeeperCounts FleetStorage::counts() const {
-  return keeper_ ? keeper_->counts() : store::KeeperCounts{};
-}
+store::KeeperCounts FleetStorage::counts() const { return store_ ? store_->counts() : store::KeeperCounts{}; }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/keeping.h
@@ -1,15 +1,20 @@
-// What the fleet keeps: opens the store, reads what was kept, and hands on what is to last.
+// The fleet's persistent state: opens the store, reads what an earlier run of this controller stored, and
+// writes what has to survive a restart.
 //
-// Owns: the keeper, what the store held at the start, and how old it is; the promises (the
-//   own vote, the version that it is for, the approved version, the own incarnations) until the store has
-//   them.
-// Must never: trust an age that cannot be proven (of another boot of the machine the wall clock alone tells
-//   it; in the future, or of another owner's disk, it is none), report a vote as kept that is not, write a
-//   promise over an unread one of an earlier life, or let the fleet wait for a disk: after kMaxDurabilityWait
-//   an incarnation goes out all the same, and that is said.
+// Some records are promises to other members: the own vote, the version that it is for, the approved version
+// and the own incarnation. They are held here until the store has accepted them. A vote is reported as
+// durable only once it is, and a promise never overwrites one of an earlier run that has not been read yet.
+// The fleet does not wait for a disk: after kMaxDurabilityWait an incarnation is used although it is not
+// durable, and that is logged.
 //
-// Threads: the constructor and flush() by the program's own, before and after the link's; the rest by the
-// link's. Errors: the constructor throws std::runtime_error where another process has the store.
+// The age of a record is used only where it can be proven. Across a reboot of the machine only the wall clock
+// gives it; a time in the future or a record of another owner's disk gives none.
+//
+// Threads: the constructor and flush() are called by the program's main thread, before and after the link's
+// thread runs; everything else by the link's.
+//
+// Errors: the constructor throws std::runtime_error if another
+// process holds the store.
 #pragma once
 
 #include <functional>
@@ -23,30 +28,36 @@
 
 namespace reeltack::fleet {
 
-// So long an own incarnation waits for the store; members that are not answered call this one dead.
+// How long an own incarnation waits to become durable. Longer would be unsafe: a member that does not answer
+// is declared dead.
 inline constexpr Duration kMaxDurabilityWait = std::chrono::seconds(1);
 
 class FleetStorage {
  public:
-  using Say = std::function<void(const std::string& event, const std::string& text)>;
-  FleetStorage(const config::Controllers& settings, const std::string& owner, Say say);
+  using LogEvent = std::function<void(const std::string& event, const std::string& text)>;
+  FleetStorage(const config::Controllers& settings, const std::string& owner, LogEvent log_event);
 
-  [[nodiscard]] Incarnation incarnation() const { return incarnation_; }  // of this start; kept already
-  [[nodiscard]] const std::optional<recovery::PersistedState>& persisted_state() const { return kept_; }
-  [[nodiscard]] const std::vector<members::Update>& known_members() const { return members_; }
-  // Of this controller's own disk; a copied one has another's vote.
+  // Of this run; the constructor has passed it to the store.
+  [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
+  [[nodiscard]] const std::optional<recovery::PersistedState>& persisted_state() const {
+    return persisted_state_;
+  }
+  [[nodiscard]] const std::vector<members::Update>& known_members() const { return known_members_; }
+  // Empty if the disk was copied from another controller, which holds that controller's vote; its approved
+  // version counts.
   [[nodiscard]] const drift::Restored& rules() const { return rules_; }
 
   void put(const Store& what);
-  // Votes asked for by put() and durable now, once each. Never where there is no store.
+  // Returns the vote passed to put() once it is durable, and only once. Never returns one without a store.
   [[nodiscard]] std::optional<drift::Vote> take_durable_vote();
-  // Incarnations asked for by put() and durable now, or said not to be; once each.
+  // Returns the incarnation passed to put() once it is durable or kMaxDurabilityWait has passed, and only
+  // once.
   [[nodiscard]] std::optional<Incarnation> take_durable_incarnation(Time now);
-  // After how long take_durable_vote() and take_durable_incarnation() may say something new; none while
-  // nothing is awaited.
+  // After how long take_durable_vote() and take_durable_incarnation() should be called again; empty while
+  // nothing is pending.
   [[nodiscard]] std::optional<Duration> retry_interval() const;
   void flush(std::chrono::milliseconds within);
-  [[nodiscard]] bool on() const { return keeper_ != nullptr; }
+  [[nodiscard]] bool has_store() const { return store_ != nullptr; }
   [[nodiscard]] store::KeeperCounts counts() const;
 
  private:
@@ -56,35 +67,36 @@
   };
   void open(const config::Controllers& settings, const Moment& now);
   void read(const std::vector<store::Kept>& records, const Moment& now);
-  void hand_over();
-  void take_late();
-  void resolve(const std::vector<store::Kept>& found);
-  bool stands_against(const Store& promise) const;
+  void write_pending();
+  void read_late_records();
+  void apply_earlier_promises(const std::vector<store::Kept>& found);
+  bool is_superseded(const Store& promise) const;
   [[nodiscard]] bool incarnation_is_durable() const;
   [[nodiscard]] bool vote_is_durable() const;
   const std::string fleet_;
   const std::string owner_;
-  const Say say_;
+  const LogEvent log_event_;
   Incarnation incarnation_ = 1;
-  std::optional<recovery::PersistedState> kept_;
-  std::vector<members::Update> members_;
+  std::optional<recovery::PersistedState> persisted_state_;
+  std::vector<members::Update> known_members_;
   drift::Restored rules_;
 
-  std::map<std::string, Store> pending_;  // promises that the keeper has not taken yet
-  bool unread_ = false;                   // there is a store, and what is in it is not known yet
-  // Of an unread store: what an earlier life has voted for, approved and taken.
-  drift::Vote earlier_;
+  std::map<std::string, Store> pending_;  // promises that the store has not accepted yet
+  bool store_unread_ = false;             // there is a store and its contents have not been read yet
+  // Of a store that could only be read late: the vote, approved version and incarnation of an earlier run.
+  drift::Vote earlier_promises_;
   Incarnation earlier_incarnation_ = 0;
-  Incarnation asked_ = 0;
-  std::optional<Time> asked_since_;
-  std::uint64_t change_ = 0;  // the keeper's number of what asks for it; 0: not taken yet
-  std::optional<drift::Vote> vote_;
-  std::uint64_t vote_change_ = 0;  // as above
-  std::uint64_t held_change_ = 0;  // of the version that the vote is for; 0 also where it is kept already
+  Incarnation requested_incarnation_ = 0;
+  std::optional<Time> requested_since_;
+  std::uint64_t incarnation_change_ = 0;  // the store's number of the change; 0: not accepted yet
+  std::optional<drift::Vote> pending_vote_;
+  std::uint64_t vote_change_ = 0;  // likewise
+  std::uint64_t held_change_ = 0;  // of the version that the vote is for; 0 also if it is stored already
 
-  std::mutex late_mutex_;
-  std::optional<std::vector<store::Kept>> late_;  // what the keeper's thread has found in an unread store
-  std::unique_ptr<store::Keeper> keeper_;         // the first to go
+  std::mutex late_records_mutex_;
+  // Contents of the unread store, found by the store's thread.
+  std::optional<std::vector<store::Kept>> late_records_;
+  std::unique_ptr<store::Keeper> store_;  // destroyed first: its thread uses the members above
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/log.h
+++ b/src/fleet/service/log.h
@@ -1,7 +1,5 @@
-// The fleet's log: one line an event, time, "fleet", the event's name, then key=value words, on standard
-// error.
-//
-// Owns: nothing. Must never: be asked what a word means. Threads: any.
+// The fleet's log on standard error. Each line has the time, "fleet", the event's name and key=value pairs.
+// Thread-safe.
 #pragma once
 
 #include <spdlog/spdlog.h>
--- a/src/fleet/service/prepared.cpp
+++ b/src/fleet/service/prepared.cpp
@@ -16,19 +16,19 @@
 Prepared prepare(config::Controllers controllers, config::Node& node) {
   const auto log = logger();
   Prepared out{std::move(controllers), nullptr};
-  out.keeping = std::make_unique<FleetStorage>(
+  out.storage = std::make_unique<FleetStorage>(
       out.controllers, node.name,
       [log](const std::string& event, const std::string& text) { log->info("{} {}", event, text); });
-  const auto& kept = out.keeping->rules().approved;
-  const auto version = kept ? drift::read_version(*kept) : std::nullopt;
+  const auto& approved = out.storage->rules().approved;
+  const auto version = approved ? drift::read_version(*approved) : std::nullopt;
   if (!version) return out;
   const auto refused = config::lay_over(node, out.controllers, *version);
   if (refused.empty()) {
     log->info("rules epoch={} laid_over=yes reason=\"approved before this start\"", version->epoch);
     return out;
   }
-  for (const std::string& why : refused)
-    log->info("rules epoch={} laid_over=no refused=\"{}\"", version->epoch, why);
+  for (const std::string& reason : refused)
+    log->info("rules epoch={} laid_over=no refused=\"{}\"", version->epoch, reason);
   return out;
 }
 
--- a/src/fleet/service/prepared.h
+++ b/src/fleet/service/prepared.h
@@ -1,8 +1,8 @@
-// What a start does before there is a core: opens the store, and lays the approved rules over the files'.
+// The part of the start that precedes the core: opens the store, then applies the approved rules over those
+// of the files.
 //
-// Owns: that order. Must never: let a process run by rules that its own checks refuse; it says so in the log
-// and goes on by the files. Errors: std::runtime_error where another process has the store; the text names
-// it.
+// If the node's own checks refuse the approved rules, that is logged and the files' rules stay in effect.
+// Errors: std::runtime_error if another process holds the store; the text names the store.
 #pragma once
 
 #include <memory>
@@ -14,9 +14,9 @@
 
 struct Prepared {
   config::Controllers controllers;
-  std::unique_ptr<FleetStorage> keeping;
+  std::unique_ptr<FleetStorage> storage;
 };
-// `node` is changed where an approved version asks for it.
+// Changes `node` where an approved version requires it.
 Prepared prepare(config::Controllers controllers, config::Node& node);
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/reading.cpp
@@ -6,43 +6,44 @@
 namespace reeltack::fleet {
 namespace {
 
-constexpr Duration kRead = std::chrono::seconds(1);
+constexpr Duration kReadInterval = std::chrono::seconds(1);
 
 }  // namespace
 
-Reading::Reading(const core::Core& core, const Coordinator& turn, const config::Node& node, std::string file)
-    : core_(core), turn_(turn), node_(node), file_(std::move(file)) {}
+RulesReader::RulesReader(const core::Core& core, const Coordinator& coordinator, const config::Node& node,
+                         std::string file)
+    : core_(core), coordinator_(coordinator), node_(node), file_(std::move(file)) {}
 
-std::optional<drift::Version> Reading::read(std::string& why) const {
+std::optional<drift::Version> RulesReader::read(std::string& error_text) const {
   if (file_.empty()) return std::nullopt;
   try {
     return config::read_version(file_, node_);
   } catch (const std::runtime_error& error) {
-    why = error.what();
+    error_text = error.what();
     return std::nullopt;
   }
 }
 
-void Reading::offer(std::optional<drift::Version> version) {
+void RulesReader::offer(std::optional<drift::Version> version) {
   if (!version) return;
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(mutex_);
   offered_ = std::move(version);
 }
 
-rules::Tree Reading::read_back() const {
+rules::Tree RulesReader::read_back() const {
   rules::Tree out = rules::read_back(core_.active_settings(), node_.class_names);
-  config::add_terms(turn_.settings(), out);
+  config::add_terms(coordinator_.settings(), out);
   static_cast<void>(out.put("core.attempts", rules::to_canonical(std::uint64_t{core_.most_attempts()})));
   return out;
 }
 
-std::vector<drift::Event> Reading::collect(Time now) {
+std::vector<drift::Event> RulesReader::collect(Time now) {
   std::vector<drift::Event> out;
   if (now >= next_) {
-    next_ = now + kRead;
+    next_ = now + kReadInterval;
     out.emplace_back(drift::RulesReadBack{read_back()});
   }
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(mutex_);
   if (offered_) out.emplace_back(drift::Offered{*std::exchange(offered_, std::nullopt)});
   return out;
 }
--- a/src/fleet/service/reading.h
+++ b/src/fleet/service/reading.h
@@ -1,10 +1,9 @@
-// What this process decides by, read back from the parts that use it, and the version that its operator
-// offers.
+// Reads back the rules that this process actually runs by, from the components that apply them, and holds the
+// version that the operator offers.
 //
-// Owns: when it is read, and the version read from the file and not yet told.
-// Must never: take the configuration's word for what the core, the module or the turn holds.
-//
-// Threads: collect() and next() by the link's; offer() and read() by any. Errors: read() puts them in words.
+// The values come from the core, the decision module and the coordinator, never from the configuration.
+// Threads: collect() and next() by the link's only; offer() and read() by any. Errors: read() returns them as
+// text.
 #pragma once
 
 #include <mutex>
@@ -17,12 +16,15 @@
 
 namespace reeltack::fleet {
 
-class Reading {
+class RulesReader {
  public:
-  Reading(const core::Core& core, const Coordinator& turn, const config::Node& node, std::string file);
+  RulesReader(const core::Core& core, const Coordinator& coordinator, const config::Node& node,
+              std::string file);
 
-  // The file's version; none: there is no file, or it is refused, and `why` says so.
-  [[nodiscard]] std::optional<drift::Version> read(std::string& why) const;
+  // Returns the version in the file, or nothing if there is no file or it is refused; in the latter case sets
+  // `error_text`.
+  [[nodiscard]] std::optional<drift::Version> read(std::string& error_text) const;
+  // Stores a version for the next collect(), replacing one not collected yet. Does nothing without a version.
   void offer(std::optional<drift::Version> version);
   [[nodiscard]] std::vector<drift::Event> collect(Time now);
   [[nodiscard]] Time next() const { return next_; }
@@ -30,11 +32,11 @@
 
  private:
   const core::Core& core_;
-  const Coordinator& turn_;
-  const config::Node node_;  // to read a file by: classes' names
+  const Coordinator& coordinator_;
+  const config::Node node_;  // supplies the class names for reading a file
   const std::string file_;
   Time next_ = Time::min();
-  std::mutex lock_;
+  std::mutex mutex_;
   std::optional<drift::Version> offered_;
 };
 
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -1,3 +1,4 @@
+// Implementation of the service: the link's driver, and the calls from the core and the list.
 #include "fleet/service/service.h"
 
 #include <atomic>
@@ -15,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kFlushed = 300ms;
+constexpr auto kFlushTimeout = 300ms;
 
 members::Self self_of(const config::Controllers& settings, const std::string& name, Incarnation incarnation) {
   members::Self out;
@@ -43,83 +44,85 @@
 
 }  // namespace
 
-class Service::Inside final : public link::Driver {
+class Service::Impl final : public link::Driver {
  public:
-  Inside(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node)
+  Impl(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node)
       : log_(logger()),
         core_(core),
         list_(list),
         prepared_(std::move(prepared)),
-        keeping_(*prepared_.keeping),
-        turn_(prepared_.controllers.turn, self_of(prepared_.controllers, node.name, keeping_.incarnation()),
-              seeds_of(prepared_.controllers), node.seed),
-        reading_(core, turn_, node, prepared_.controllers.rules_file),
+        storage_(*prepared_.storage),
+        coordinator_(prepared_.controllers.turn,
+                     self_of(prepared_.controllers, node.name, storage_.incarnation()),
+                     seeds_of(prepared_.controllers), node.seed),
+        rules_reader_(core, coordinator_, node, prepared_.controllers.rules_file),
         link_(link_of(prepared_.controllers), *this,
               {[this](const recovery::Terms& terms) { apply(terms); },
-               [this](const Store& store) { keeping_.put(store); },
+               [this](const Store& store) { storage_.put(store); },
                [this](const Log& log) { log_->info("{} {}", log.event, log.text); }}),
-        sightings_(MemberId{config::hash_of(node.name)}),
+        observations_(MemberId{config::hash_of(node.name)}),
         self_(MemberId{config::hash_of(node.name)}) {}
 
-  // ---- the link's driver, on its thread
+  // The link's driver, called on the link's thread.
   void begin(Time now, CoordinatorActions& actions) override {
-    turn_.begin(now, keeping_.persisted_state(), keeping_.known_members(), actions);
-    turn_.on(now, DriftEvent{keeping_.rules()}, actions);
-    reading_.offer(read_file());
-    read_rules(now, actions);
-    shown_.take(now, turn_);
+    coordinator_.begin(now, storage_.persisted_state(), storage_.known_members(), actions);
+    coordinator_.on(now, DriftEvent{storage_.rules()}, actions);
+    rules_reader_.offer(read_version_file());
+    pass_on_rules(now, actions);
+    stats_.take(now, coordinator_);
   }
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) override {
     if (const auto* core = std::get_if<CoreEvent>(&event))
-      if (const auto* heard = std::get_if<recovery::ListReceived>(&core->event))
-        for (const recovery::Evidence& e : heard->offices) sightings_.track(e.office);
-    turn_.on(now, event, actions);
+      if (const auto* list = std::get_if<recovery::ListReceived>(&core->event))
+        for (const recovery::Evidence& e : list->offices) observations_.track(e.office);
+    coordinator_.on(now, event, actions);
   }
   void tick(Time now, CoordinatorActions& actions) override {
-    if (const auto durable = keeping_.take_durable_incarnation(now))
-      turn_.on(now, IncarnationPersisted{*durable}, actions);
-    read_rules(now, actions);
-    if (now >= sightings_.next(opens())) {
-      saw_.clear();
-      sightings_.collect(now, saw_);
-      turn_.on_core_events(now, saw_, actions);
+    if (const auto durable = storage_.take_durable_incarnation(now))
+      coordinator_.on(now, IncarnationPersisted{*durable}, actions);
+    pass_on_rules(now, actions);
+    if (now >= observations_.next(is_opening())) {
+      collected_.clear();
+      observations_.collect(now, collected_);
+      coordinator_.on_core_events(now, collected_, actions);
     }
-    turn_.tick(now, actions);
-    shown_.take(now, turn_);
+    coordinator_.tick(now, actions);
+    stats_.take(now, coordinator_);
   }
-  void leave(Time now, CoordinatorActions& actions) override { turn_.leave(now, actions); }
+  void leave(Time now, CoordinatorActions& actions) override { coordinator_.leave(now, actions); }
   [[nodiscard]] Time next() const override {
-    const Time at = std::min({turn_.next(), sightings_.next(opens()), reading_.next()});
-    const auto retry_interval = keeping_.retry_interval();
+    const Time at = std::min({coordinator_.next(), observations_.next(is_opening()), rules_reader_.next()});
+    const auto retry_interval = storage_.retry_interval();
     return retry_interval ? std::min(at, base::now() + *retry_interval) : at;
   }
 
-  // ---- from others
+  // Called on other threads, as service.h says.
   void saw(ServerId office, OfficeObserver::OfficeObservation what) {
-    if (sightings_.saw(base::now(), office, what)) link_.reschedule();
+    if (observations_.saw(base::now(), office, what)) link_.reschedule();
   }
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
-    recovery::ListReceived heard;
-    heard.complete = complete;
-    heard.live = live;
-    heard.number = number_;
-    heard.restarts = restarts_;
+    recovery::ListReceived list;
+    list.complete = complete;
+    list.live = live;
+    list.number = list_number_;
+    list.restarts = list_restarts_;
     for (const core::OfficeEntry& o : offices) {
       const recovery::Office office = office_of(o);
-      const recovery::OfficeState seen = o.entry.state == ServerState::ready ? recovery::OfficeState::ready
-                                         : o.entry.state == ServerState::draining
-                                             ? recovery::OfficeState::draining
-                                             : recovery::OfficeState::gone;
-      // What the configuration held is no live source's word: it counts as kept, of unknown age.
-      heard.offices.push_back({office, live ? recovery::Rank::listed : recovery::Rank::stored, seen, self_,
-                               live ? std::optional<Duration>(Duration{}) : std::nullopt});
+      const recovery::OfficeState state = o.entry.state == ServerState::ready ? recovery::OfficeState::ready
+                                          : o.entry.state == ServerState::draining
+                                              ? recovery::OfficeState::draining
+                                              : recovery::OfficeState::gone;
+      // An entry from the configuration is not a live source: it counts as stored evidence of unknown age.
+      list.offices.push_back({office, live ? recovery::Rank::listed : recovery::Rank::stored, state, self_,
+                              live ? std::optional<Duration>(Duration{}) : std::nullopt});
     }
-    link_.from_core(std::move(heard));
+    link_.from_core(std::move(list));
   }
-  void numbered(std::uint64_t number) { number_ = number; }  // under the list's lock, as listed()
+  // Called under the office list's lock, like listed().
+  void numbered(std::uint64_t number) { list_number_ = number; }
   void restarted() {
-    number_ = 0;
-    ++restarts_;
+    list_number_ = 0;
+    ++list_restarts_;
   }
   void caught_up() {
     if (!std::exchange(caught_up_, true)) link_.from_core(recovery::ListCaughtUp{});
@@ -128,73 +131,74 @@
 
   void start() { link_.start(); }
   void reload() {
-    reading_.offer(read_file());
+    rules_reader_.offer(read_version_file());
     link_.reschedule();
   }
   void stop() {
     link_.stop();
-    keeping_.flush(kFlushed);
+    storage_.flush(kFlushTimeout);
   }
-  [[nodiscard]] bool settled() const { return shown_.settled; }
-  [[nodiscard]] std::string figures() const { return shown_.text(link_.figures()); }
+  [[nodiscard]] bool settled() const { return stats_.settled; }
+  [[nodiscard]] std::string figures() const { return stats_.text(link_.figures()); }
 
  private:
   void apply(const recovery::Terms& terms) {
-    for (const recovery::Terms::Line& line : terms.offices) sightings_.track(line.office);
-    TermsTranslator::Changes told = applied_.take(terms);
-    if (!told.offices.empty()) list_.settled(std::move(told.offices));
-    if (told.module) core_.terms(std::move(*told.module));
-    shown_.settled = true;
+    for (const recovery::Terms::Line& line : terms.offices) observations_.track(line.office);
+    TermsTranslator::Changes changes = terms_translator_.take(terms);
+    if (!changes.offices.empty()) list_.settled(std::move(changes.offices));
+    if (changes.limits) core_.terms(std::move(*changes.limits));
+    stats_.settled = true;
   }
-  [[nodiscard]] std::optional<drift::Version> read_file() {
-    std::string why;
-    auto out = reading_.read(why);
-    if (!why.empty()) log_->info("version refused=\"{}\"", why);
+  [[nodiscard]] std::optional<drift::Version> read_version_file() {
+    std::string error_text;
+    auto out = rules_reader_.read(error_text);
+    if (!error_text.empty()) log_->info("version refused=\"{}\"", error_text);
     return out;
   }
-  void read_rules(Time now, CoordinatorActions& actions) {
-    if (const auto vote = keeping_.take_durable_vote())
-      turn_.on(now, DriftEvent{drift::VotePersisted{*vote}}, actions);
-    for (drift::Event& event : reading_.collect(now)) turn_.on(now, DriftEvent{std::move(event)}, actions);
+  void pass_on_rules(Time now, CoordinatorActions& actions) {
+    if (const auto vote = storage_.take_durable_vote())
+      coordinator_.on(now, DriftEvent{drift::VotePersisted{*vote}}, actions);
+    for (drift::Event& event : rules_reader_.collect(now))
+      coordinator_.on(now, DriftEvent{std::move(event)}, actions);
   }
-  [[nodiscard]] bool opens() const { return turn_.recovery().stage() != recovery::Stage::full; }
+  [[nodiscard]] bool is_opening() const { return coordinator_.recovery().stage() != recovery::Stage::full; }
 
   const std::shared_ptr<spdlog::logger> log_;
   core::Core& core_;
   core::OfficeList& list_;
   Prepared prepared_;
-  FleetStorage& keeping_;
-  Coordinator turn_;
-  Reading reading_;
-  TermsTranslator applied_;
-  Shown shown_;
-  std::uint64_t number_ = 0;  // of the list that is heard
-  std::uint64_t restarts_ = 0;
+  FleetStorage& storage_;
+  Coordinator coordinator_;
+  RulesReader rules_reader_;
+  TermsTranslator terms_translator_;
+  StatsSnapshot stats_;
+  std::uint64_t list_number_ = 0;  // of the list received last
+  std::uint64_t list_restarts_ = 0;
   bool caught_up_ = false;
   link::Link link_;
-  OfficeObservations sightings_;
-  std::vector<recovery::Event> saw_;
+  OfficeObservations observations_;
+  std::vector<recovery::Event> collected_;
   const MemberId self_;
 };
 
 Service::Service(core::Core& core, core::OfficeList& list, Prepared prepared, const config::Node& node)
-    : inside_(std::make_unique<Inside>(core, list, std::move(prepared), node)) {
+    : impl_(std::make_unique<Impl>(core, list, std::move(prepared), node)) {
   core.watch(*this);
   list.set_list_arbiter(*this);
 }
 Service::~Service() = default;
-void Service::start() { inside_->start(); }
-void Service::reload() { inside_->reload(); }
-void Service::stop() { inside_->stop(); }
-bool Service::settled() const { return inside_->settled(); }
-std::string Service::figures() const { return inside_->figures(); }
-void Service::saw(ServerId office, OfficeObserver::OfficeObservation what) { inside_->saw(office, what); }
+void Service::start() { impl_->start(); }
+void Service::reload() { impl_->reload(); }
+void Service::stop() { impl_->stop(); }
+bool Service::settled() const { return impl_->settled(); }
+std::string Service::figures() const { return impl_->figures(); }
+void Service::saw(ServerId office, OfficeObserver::OfficeObservation what) { impl_->saw(office, what); }
 void Service::listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) {
-  inside_->listed(live, complete, offices);
+  impl_->listed(live, complete, offices);
 }
-void Service::numbered(std::uint64_t number) { inside_->numbered(number); }
-void Service::restarted() { inside_->restarted(); }
-void Service::caught_up() { inside_->caught_up(); }
-void Service::silent() { inside_->silent(); }
+void Service::numbered(std::uint64_t number) { impl_->numbered(number); }
+void Service::restarted() { impl_->restarted(); }
+void Service::caught_up() { impl_->caught_up(); }
+void Service::silent() { impl_->silent(); }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/service.h
+++ b/src/fleet/service/service.h
@@ -1,13 +1,17 @@
-// The fleet in service: joins the turn on its link with the core, the list of offices and the store.
+// Joins the fleet's coordinator on its link with the core, the office list and the store.
 //
-// Owns: the turn, the link, the keeper; the translation of what the core saw into evidence, and of terms into
-//   what the list and the module are told; the figures of the fleet.
-// Must never: decide (the turn does), let the core wait, or tell a peer of what the store doesn't hold yet.
+// Translates what the core observes into evidence, and the fleet's terms into changes of the office list and
+// limits for the decision module. All decisions are the coordinator's. The core never waits for the fleet,
+// and no peer is informed of something that the store has yet to make durable, beyond the exception of
+// FleetStorage.
 //
-// Threads: start() and stop() by the program's own; saw() by the core's, listed() and silent() by whoever
-// heard the list: these never wait here; figures() and settled() by any. Errors: start() throws
-// std::runtime_error where the address is taken or another process has the store; the text names which. A
-// store that cannot be had otherwise is said in the log, and the start goes on without.
+// Threads: start() and stop() are called by the program's main thread; saw() by the core's; listed(),
+// numbered(), restarted(), caught_up() and silent() by the thread that received the list; none of these
+// waits. reload(), figures() and settled() by any.
+//
+// Errors: start() throws std::runtime_error if the address
+// is taken; the text names it. prepare() has opened the store before; a store that is unavailable for another
+// reason than a second process is logged, and the start goes on without.
 #pragma once
 
 #include <memory>
@@ -25,11 +29,11 @@
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
-  void start();                        // opens the link; before the list is told
-  void reload();                       // reads the version's file anew; any thread; says what it refuses
-  void stop();                         // leaves in order; what is to last is written
-  [[nodiscard]] bool settled() const;  // the first terms have been handed on
-  [[nodiscard]] std::string figures() const;  // proxy.fleet_NAME=VALUE lines, in a fixed order
+  void start();   // opens the link; call it before the office list is passed on
+  void reload();  // reads the file with the offered version again; logs why it is refused
+  void stop();    // leaves the fleet in order and flushes the store
+  [[nodiscard]] bool settled() const;         // whether the first terms have been applied
+  [[nodiscard]] std::string figures() const;  // proxy.fleet_NAME=VALUE lines in a fixed order
 
   void saw(ServerId office, core::OfficeObserver::OfficeObservation what) override;
   void listed(bool live, bool complete, const std::vector<core::OfficeEntry>& offices) override;
@@ -39,8 +43,8 @@
   void silent() override;
 
  private:
-  class Inside;
-  std::unique_ptr<Inside> inside_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/shown.cpp
+++ b/src/fleet/service/shown.cpp
@@ -1,21 +1,21 @@
-// The figures, copied and written. Must never: keep the turn waiting.
+// Copying and formatting of the fleet's figures.
 #include "fleet/service/shown.h"
 
 namespace reeltack::fleet {
 
-void Shown::take(Time now, const Coordinator& turn) {
-  if (now < taken_at_ + kApart) return;
+void StatsSnapshot::take(Time now, const Coordinator& coordinator) {
+  if (now < taken_at_ + kMinInterval) return;
   taken_at_ = now;
-  const recovery::Recovery& r = turn.recovery();
-  std::uint64_t of[3] = {};
+  const recovery::Recovery& r = coordinator.recovery();
+  std::uint64_t by_verdict[3] = {};
   std::uint64_t cold = 0;
-  for (const recovery::OfficeAssessment& judged : r.offices(now)) {
-    ++of[static_cast<int>(judged.verdict)];
-    cold += judged.cold ? 1 : 0;
+  for (const recovery::OfficeAssessment& assessment : r.offices(now)) {
+    ++by_verdict[static_cast<int>(assessment.verdict)];
+    cold += assessment.cold ? 1 : 0;
   }
-  barred_ = of[0];
-  trial_ = of[1];
-  trusted_ = of[2];
+  barred_ = by_verdict[0];
+  trial_ = by_verdict[1];
+  trusted_ = by_verdict[2];
   cold_ = cold;
   stage_ = static_cast<std::uint64_t>(r.stage());
   recovering_ = r.recovering() ? 1 : 0;
@@ -23,29 +23,29 @@
   const recovery::Share share = r.share(now);
   minority_ = share.minority ? 1 : 0;
   agreed_ = share.size;
-  alive_ = turn.members().alive();
-  health_ = turn.members().health();
-  incarnation_ = turn.members().self().incarnation;
-  facts_ = turn.facts().size();
-  fact_bytes_ = turn.facts().bytes();
-  const CoordinatorCounters& c = turn.counts();
+  alive_ = coordinator.members().alive();
+  health_ = coordinator.members().health();
+  incarnation_ = coordinator.members().self().incarnation;
+  facts_ = coordinator.facts().size();
+  fact_bytes_ = coordinator.facts().bytes();
+  const CoordinatorCounters& c = coordinator.counts();
   exchanges_ = c.exchanges_completed;
   exchanges_failed_ = c.exchanges_failed;
   refused_ = c.other_fleet + c.unsupported_version + c.malformed + c.exchanges_refused;
   flooded_ = c.flooded;
-  over_bound_ = c.over_bound + turn.facts().counts().over_bound;
+  over_bound_ = c.over_bound + coordinator.facts().counts().over_bound;
   stage_changes_ = c.stage_changes;
   list_number_ = r.list().number;
   list_digest_ = r.list().digest;
   list_wins_ = r.winning_list().digest;
-  const news::Counts& news = turn.eager_push().counts();
+  const news::Counts& news = coordinator.eager_push().counts();
   news_in_ = news.messages_received;
   news_out_ = news.messages_sent;
   news_refused_ = news.refused();
-  if (now >= rules_at_ + kRulesApart) take_rules(now, turn.drift());
+  if (now >= rules_at_ + kMinRulesInterval) take_rules(now, coordinator.drift());
 }
 
-void Shown::take_rules(Time now, const drift::Drift& drift) {
+void StatsSnapshot::take_rules(Time now, const drift::Drift& drift) {
   using drift::View;
   rules_at_ = now;
   const auto figures = drift.figures(now);
@@ -61,7 +61,7 @@
   rules_conflict_ = drift.conflict();
 }
 
-std::string Shown::text(const link::LinkFigures& l) const {
+std::string StatsSnapshot::text(const link::LinkFigures& link_figures) const {
   std::string out;
   const auto line = [&out](const char* name, std::uint64_t value) {
     out += std::string("proxy.fleet_") + name + "=" + std::to_string(value) + "\n";
@@ -86,13 +86,13 @@
   line("refused", refused_);
   line("flooded", flooded_);
   line("over_bound", over_bound_);
-  line("bytes_in", l.bytes_in + l.exchange_bytes_in);
-  line("bytes_out", l.bytes_out + l.exchange_bytes_out);
-  line("malformed", l.malformed);
-  line("core_dropped", l.core_dropped);
-  line("cpu_us",
-       static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(l.cpu).count()));
-  line("failed", l.failed ? 1 : 0);
+  line("bytes_in", link_figures.bytes_in + link_figures.exchange_bytes_in);
+  line("bytes_out", link_figures.bytes_out + link_figures.exchange_bytes_out);
+  line("malformed", link_figures.malformed);
+  line("core_dropped", link_figures.core_dropped);
+  line("cpu_us", static_cast<std::uint64_t>(
+                     std::chrono::duration_cast<std::chrono::microseconds>(link_figures.cpu).count()));
+  line("failed", link_figures.failed ? 1 : 0);
   line("news_in", news_in_);
   line("news_out", news_out_);
   line("news_refused", news_refused_);
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/sightings.cpp
@@ -7,8 +7,8 @@
 namespace reeltack::fleet {
 namespace {
 
-sums::Outcome outcome_of(core::OfficeObserver::OfficeObservation what) {
-  switch (what) {
+sums::Outcome outcome_of(core::OfficeObserver::OfficeObservation observation) {
+  switch (observation) {
     case core::OfficeObserver::OfficeObservation::answered:
       return sums::Outcome::answered;
     case core::OfficeObserver::OfficeObservation::refused:
@@ -49,28 +49,28 @@
   return out;
 }
 
-bool OfficeObservations::saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation what) {
-  if (!counters_.add(now, id, outcome_of(what))) return false;
-  rang_.store(true, std::memory_order_release);
+bool OfficeObservations::saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation observation) {
+  if (!counters_.add(now, id, outcome_of(observation))) return false;
+  urgent_.store(true, std::memory_order_release);
   return true;
 }
 
 void OfficeObservations::track(const recovery::Office& office) {
-  if (sums_.is_tracked(office)) return;
+  if (reporter_.is_tracked(office)) return;
   counters_.read(totals_);
   const auto found = std::find_if(totals_.begin(), totals_.end(),
                                   [&](const sums::Totals& t) { return t.office == office.id; });
-  sums_.track(office, found == totals_.end() ? sums::Totals{} : *found);
+  reporter_.track(office, found == totals_.end() ? sums::Totals{} : *found);
 }
 
 void OfficeObservations::collect(Time now, std::vector<recovery::Event>& out) {
-  const bool rang = rang_.exchange(false, std::memory_order_acquire);
+  const bool urgent = urgent_.exchange(false, std::memory_order_acquire);
   counters_.read(totals_);
-  sums_.collect(now, rang, totals_, out);
+  reporter_.collect(now, urgent, totals_, out);
 }
 
 Time OfficeObservations::next(bool opens) const {
-  return rang_.load(std::memory_order_acquire) ? Time::min() : sums_.next(opens);
+  return urgent_.load(std::memory_order_acquire) ? Time::min() : reporter_.next(opens);
 }
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/sightings.h
+++ b/src/fleet/service/sightings.h
@@ -1,10 +1,8 @@
-// What the core saw of offices, as evidence and pressure for the fleet: counted on the core's side, collected
-// on the link's (see fleet/sums for what is told when).
+// Turns what the core observes of offices into evidence and load reports for the fleet: counted on the core's
+// thread, collected on the link's. fleet/sums defines what is reported when. It does not judge offices.
 //
-// Owns: the counters between the two threads, and the offices' names as the fleet speaks of them.
-// Must never: judge an office, or let the core wait: what it does is a handful of loads and stores.
-//
-// Threads: saw() by the core's alone; the rest by the link's alone. Times are steady ones, told.
+// Threads: saw() by the core's only, where it costs a few loads and stores; the rest by the link's only. All
+// times are steady ones, passed in by the caller.
 #pragma once
 
 #include <atomic>
@@ -16,24 +14,26 @@
 
 namespace reeltack::fleet {
 
-// An office of the list as the fleet speaks of it: its start in Unix milliseconds, its address as a number.
+// Converts a list entry to the fleet's form: start in Unix milliseconds, address as a number.
 recovery::Office office_of(const core::OfficeEntry& entry);
 core::OfficeEntry entry_of(const recovery::Office& office, ServerState state);
 
 class OfficeObservations {
  public:
-  explicit OfficeObservations(MemberId self) : sums_(self) {}
-  bool saw(Time now, ServerId id,
-           core::OfficeObserver::OfficeObservation what);  // true: collect() is due at once
-  void track(const recovery::Office& office);              // what is seen from now on is of this life of it
+  explicit OfficeObservations(MemberId self) : reporter_(self) {}
+  // Counts one observation of the core. Returns true if collect() is due at once.
+  bool saw(Time now, ServerId id, core::OfficeObserver::OfficeObservation observation);
+  // Attributes later observations of the office's id to this run of the office.
+  void track(const recovery::Office& office);
   void collect(Time now, std::vector<recovery::Event>& out);
-  [[nodiscard]] Time next(bool opens) const;  // when collect() is due, while service opens or is full
+  // When collect() is due. `opens`: the fleet has not reached the stage full.
+  [[nodiscard]] Time next(bool opens) const;
 
  private:
-  Counters counters_;
-  std::atomic<bool> rang_{false};
-  sums::OutcomeReporter sums_;
-  std::vector<sums::Totals> totals_;  // as read last
+  ObservationCounters counters_;
+  std::atomic<bool> urgent_{false};
+  sums::OutcomeReporter reporter_;
+  std::vector<sums::Totals> totals_;  // as last read
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms.cpp
@@ -8,8 +8,9 @@
 namespace reeltack::fleet {
 namespace {
 
-// A share so small that no set-up fits into it within this is none.
-constexpr Duration kLongestApart = std::chrono::minutes(1);
+// Longest interval between set-ups to an office, however small its share. A share that allows less than one
+// set-up in this time is practically zero.
+constexpr Duration kMaxSendInterval = std::chrono::minutes(1);
 
 bool usable(const recovery::Terms::Line& line) {
   return line.verdict == recovery::Verdict::trusted ||
@@ -31,18 +32,18 @@
 
 TermsTranslator::Changes TermsTranslator::take(const recovery::Terms& terms) {
   Changes out;
-  AdmissionLimitsReceived module;
+  AdmissionLimitsReceived limits;
   std::map<ServerId, core::OfficeEntry> now;
   for (const recovery::Terms::Line& line : terms.offices) {
     const core::OfficeEntry entry =
         entry_of(line.office, usable(line) ? ServerState::ready : ServerState::draining);
     now.emplace(line.office.id, entry);
     if (line.max_rate < 0.0) continue;
-    const double apart = 1.0 / std::max(line.max_rate, 1.0e-6);
-    module.send_intervals.push_back(
+    const double interval = 1.0 / std::max(line.max_rate, 1.0e-6);
+    limits.send_intervals.push_back(
         {line.office.id,
-         std::min(kLongestApart, std::chrono::duration_cast<Duration>(
-                                     std::chrono::duration<double>(std::min(apart, 1.0e6))))});
+         std::min(kMaxSendInterval, std::chrono::duration_cast<Duration>(
+                                        std::chrono::duration<double>(std::min(interval, 1.0e6))))});
   }
   for (const auto& [id, entry] : now) {
     const auto before = offices_.find(id);
@@ -54,11 +55,11 @@
     out.offices.back().entry.state = ServerState::gone;
   }
   offices_ = std::move(now);
-  for (const auto& closed : terms.closed) module.retry_after_by_class.push_back(closed.value_or(Duration{}));
-  if (std::all_of(module.retry_after_by_class.begin(), module.retry_after_by_class.end(),
+  for (const auto& closed : terms.closed) limits.retry_after_by_class.push_back(closed.value_or(Duration{}));
+  if (std::all_of(limits.retry_after_by_class.begin(), limits.retry_after_by_class.end(),
                   [](Duration d) { return d == Duration{}; }))
-    module.retry_after_by_class.clear();
-  if (!same(module, module_)) out.module = module_ = std::move(module);
+    limits.retry_after_by_class.clear();
+  if (!same(limits, last_limits_)) out.limits = last_limits_ = std::move(limits);
   return out;
 }
 
--- a/src/fleet/service/terms.h
+++ b/src/fleet/service/terms.h
@@ -1,9 +1,7 @@
-// The fleet's terms as the list of offices and the module are told of them.
+// Translates the fleet's terms into changes of the office list and admission limits for the decision module.
 //
-// Owns: what was told last, so that only what has changed is told again.
-// Must never: make an office ready that the terms do not, or leave out one that they bar.
-//
-// Threads: one, the link's.
+// Remembers what was passed on last, so that only changes are passed on. An office is ready only if the terms
+// make it usable, and every office that they bar is included. Used by the link's thread only.
 #pragma once
 
 #include <map>
@@ -16,14 +14,14 @@
 class TermsTranslator {
  public:
   struct Changes {
-    std::vector<core::OfficeEntry> offices;         // that have changed
-    std::optional<AdmissionLimitsReceived> module;  // where it has changed
+    std::vector<core::OfficeEntry> offices;         // changed entries only
+    std::optional<AdmissionLimitsReceived> limits;  // set only if it changed
   };
   Changes take(const recovery::Terms& terms);
 
  private:
   std::map<ServerId, core::OfficeEntry> offices_;
-  AdmissionLimitsReceived module_;
+  AdmissionLimitsReceived last_limits_;
 };
 
 }  // namespace reeltack::fleet
--- a/tests/fleet/return_world.cpp
+++ b/tests/fleet/return_world.cpp
@@ -119,7 +119,7 @@
     for (const core::OfficeEntry& o : changes.offices) list.entries.push_back(with_start_time(o.entry));
     notify(node, list);
   }
-  if (changes.module) notify(node, *changes.module);
+  if (changes.limits) notify(node, *changes.limits);
 }
 
 void ReturnWorld::start(std::size_t node) {
