--- a/tests/fleet/controller_disk.h
+++ b/tests/fleet/controller_disk.h
@@ -1,4 +1,5 @@
-// One controller's disk over several lives, with injected failures, and the log of all of them.
+// One controller's disk over several runs of its process, with injected failures, and the combined log of the
+// runs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -37,7 +38,7 @@
     const std::lock_guard lock(mutex_);
     return log_;
   }
-  // As an earlier life, which ended at these moments, has left it.
+  // Writes the stage as an earlier run would have, which ended at the given times.
   void write_stage(const std::string& stage, clocks::WallTime at, const clocks::BootTime& since_boot) const {
     store::StoreSettings store;
     store.dir = settings_.store;
--- a/tests/fleet/controllers_file_test.cpp
+++ b/tests/fleet/controllers_file_test.cpp
@@ -1,4 +1,5 @@
-// The operators' file of the fleet: what is read, what is refused, and that each refusal names place and key.
+// The `fleet` section of the configuration: valid input is read, and every rejection names the place and the
+// key.
 #include <gtest/gtest.h>
 
 #include "config/controllers.h"
@@ -29,7 +30,7 @@
   out.settings.classes = {{.aim = 1s, .worth = 3.0}};
   return out;
 }
-std::string problem(std::string text, const std::string& from, const std::string& to) {
+std::string error_for(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   text.replace(at, from.size(), to);
@@ -38,10 +39,10 @@
   } catch (const yaml::Error& error) {
     return error.what();
   }
-  return "taken";
+  return "accepted";
 }
 
-TEST(ControllersFile, IsReadWithThePlatformsRulesOnColdOffices) {
+TEST(ControllersFile, IsReadWithThePlatformSettingsForColdOffices) {
   const Controllers c = parse_controllers(kGood, "fleet.yaml", node());
   EXPECT_EQ(c.fleet, "despacho");
   EXPECT_EQ(c.epoch, 3U);
@@ -55,11 +56,11 @@
   EXPECT_EQ(c.turn.recovery.class_worth.size(), 1U);
 }
 
-TEST(ControllersFile, RefusesWithPlaceAndKey) {
+TEST(ControllersFile, RejectsWithPlaceAndKey) {
   const struct {
     const char* from;
     const char* to;
-    const char* says;
+    const char* expected;
   } cases[] = {
       {"size: 12", "size: 0", "fleet.yaml:6"},
       {"size: 12", "sise: 12", "sise"},
@@ -75,8 +76,8 @@
       {"  store: /tmp/kept\n", "  exchange: {every: 1s, urgent: 2s}\n", "no longer than every"},
   };
   for (const auto& c : cases) {
-    const std::string said = problem(kGood, c.from, c.to);
-    EXPECT_NE(said.find(c.says), std::string::npos) << c.to << ": " << said;
+    const std::string message = error_for(kGood, c.from, c.to);
+    EXPECT_NE(message.find(c.expected), std::string::npos) << c.to << ": " << message;
   }
 }
 
--- a/tests/fleet/drift_processes_test.cpp
+++ b/tests/fleet/drift_processes_test.cpp
@@ -1,5 +1,5 @@
-// The rules of several processes: who decides otherwise is found, cuts and losses of power approve nothing
-// twice.
+// The drift of rules over several processes: a controller that decides by other rules is found and named, and
+// partitions or power losses never approve two versions of one epoch.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -10,7 +10,7 @@
 namespace reeltack::rig {
 namespace {
 
-constexpr std::size_t kAll = 12;
+constexpr std::size_t kControllers = 12;
 
 std::string version(int epoch, int attempts) {
   return "version:\n  epoch: " + std::to_string(epoch) +
@@ -19,7 +19,7 @@
          "    fleet.every: 1s\n";
 }
 
-// A fleet under no load: rules are compared whatever the calls.
+// A fleet without load: the comparison of rules does not depend on calls.
 class Drift {
  public:
   explicit Drift(std::function<void(std::size_t, standin::ControllerSetup&)> adjust = {})
@@ -28,7 +28,7 @@
   }
   static RigSettings settings(std::function<void(std::size_t, standin::ControllerSetup&)> adjust) {
     RigSettings out;
-    out.controllers = kAll;
+    out.controllers = kControllers;
     out.offices = 2;
     out.rules = true;
     out.adjust = std::move(adjust);
@@ -38,27 +38,28 @@
     std::ofstream(rig.pack().dir(i) + "/rules.yaml") << text;
     rig.pack().member(i).signal(SIGHUP);
   }
-  // At all that are up, or at those.
-  bool await(Duration most, const std::string& figure, std::int64_t value, std::vector<std::size_t> at = {}) {
+  // Waits until the figure has the value at all controllers that are up, or at the given ones.
+  bool await(Duration limit, const std::string& figure, std::int64_t value,
+             std::vector<std::size_t> at = {}) {
     if (at.empty())
-      for (std::size_t i = 0; i < kAll; ++i) at.push_back(i);
-    return rig.until(most, [&] {
+      for (std::size_t i = 0; i < kControllers; ++i) at.push_back(i);
+    return rig.until(limit, [&] {
       for (const std::size_t i : at)
         if (rig.pack().state(i) == standin::Pack::State::up && rig.figure(i, figure) != value) return false;
       return true;
     });
   }
-  // For so long, each time it is asked, at all that are up.
+  // Whether the figure never exceeds the value in this time at any controller that is up.
   bool stays(Duration lasts, const std::string& figure, std::int64_t value) {
     bool out = true;
     for (const Time end = base::now() + lasts; out && base::now() < end;)
-      for (std::size_t i = 0; i < kAll; ++i)
+      for (std::size_t i = 0; i < kControllers; ++i)
         if (rig.pack().state(i) == standin::Pack::State::up && rig.figure(i, figure) > value) out = false;
     return out;
   }
   std::string figures() {
     std::string out;
-    for (std::size_t i = 0; i < kAll; ++i) {
+    for (std::size_t i = 0; i < kControllers; ++i) {
       out += Rig::name(i);
       for (const char* figure :
            {"rules_epoch", "rules_in_step", "rules_adopting", "rules_pending", "rules_drifted",
@@ -68,11 +69,11 @@
     }
     return out;
   }
-  // How many of the logs hold these words.
-  std::size_t logged(const std::string& words) {
+  // Number of controllers whose log contains the pattern.
+  std::size_t logged(const std::string& pattern) {
     std::size_t out = 0;
-    for (std::size_t i = 0; i < kAll; ++i)
-      out += rig.pack().member(i).log().find(words) != std::string::npos ? 1 : 0;
+    for (std::size_t i = 0; i < kControllers; ++i)
+      out += rig.pack().member(i).log().find(pattern) != std::string::npos ? 1 : 0;
     return out;
   }
   void restart(std::size_t i) {
@@ -93,8 +94,9 @@
   return out;
 }
 
-// n4 has another attempts limit in its file, n7 a misspelt class, n9 a class more; n2 writes out a default.
-TEST(DriftProcesses, WhoDecidesOtherwiseIsFoundAndNamed) {
+// n4 has a different limit of attempts in its file, n7 a misspelt class, n9 an additional class; n2 states a
+// default.
+TEST(DriftProcesses, ControllersWithOtherRulesAreFoundAndNamed) {
   Drift d([](std::size_t i, standin::ControllerSetup& setup) {
     if (i == 4) setup.attempts = 4;
     if (i == 7) setup.classes[0].name = "estado-viage";
@@ -104,14 +106,14 @@
   d.offer(0, version(1, 5));
   EXPECT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
   const Time approved = base::now();
-  // None of the three has started since: what differs waits for that, and is no drift.
+  // None of the three has restarted since the approval: until then a difference is pending and not drift.
   EXPECT_TRUE(d.await(10s, "rules_pending", 3)) << d.figures();
   EXPECT_TRUE(d.await(10s, "rules_in_step", 9)) << d.figures();
   std::printf("all know of the three %.2f s after the approval\n",
               std::chrono::duration<double>(base::now() - approved).count());
   EXPECT_TRUE(d.stays(2s, "rules_drifted", 0)) << d.figures();
-  // At its start the approved rules are laid over a file; where they can't be, it decides otherwise and is
-  // named.
+  // At a start the approved rules are applied over the file. Where that is impossible, the controller runs by
+  // other rules and is named.
   for (const std::size_t i : {4, 7, 9}) d.restart(i);
   const Time started = base::now();
   EXPECT_TRUE(d.await(15s, "rules_drifted", 2)) << d.figures();
@@ -121,13 +123,13 @@
   EXPECT_TRUE(d.await(5s, "rules_pending", 0)) << d.figures();
   EXPECT_EQ(d.logged("rules epoch=1 laid_over=yes"), 1U);
   EXPECT_EQ(d.logged("laid_over=no refused=\"class.estado-viaje.deadline: is no rule\""), 1U);
-  EXPECT_EQ(d.logged("drift name=n7 alarm=raised view=diverged"), 3U) << "itself and two watchers";
+  EXPECT_EQ(d.logged("drift name=n7 alarm=raised view=diverged"), 3U) << "itself and two observers";
   EXPECT_EQ(d.logged("class.estado-viaje.deadline=\"nothing\" wanted=\"9000000000ns\""), 3U);
   EXPECT_EQ(d.logged("drift name=n9 alarm=raised"), 3U);
 }
 
-// The fleet is cut while versions are offered on both sides under one epoch.
-TEST(DriftProcesses, CutInFiveAndSevenOnlyTheSevenApprove) {
+// The fleet is partitioned while versions of the same epoch are offered on both sides.
+TEST(DriftProcesses, OfAPartitionInFiveAndSevenOnlyTheSevenApprove) {
   Drift d;
   d.offer(3, version(1, 5));
   ASSERT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
@@ -140,13 +142,13 @@
   EXPECT_TRUE(d.await(1s, "rules_epoch", 1, numbers(0, 5))) << d.figures();
   d.rig.between().heal();
   EXPECT_TRUE(d.await(45s, "rules_epoch", 2)) << d.figures();
-  for (std::size_t i = 0; i < kAll; ++i) d.restart(i);
+  for (std::size_t i = 0; i < kControllers; ++i) d.restart(i);
   EXPECT_TRUE(d.await(30s, "rules_in_step", 12)) << d.figures();
   EXPECT_EQ(d.logged("laid_over=yes"), 12U);
 }
 
-// All lose their power; half of the disks come back from a copy that is two epochs old.
-TEST(DriftProcesses, AfterAPowerLossWithOldDisksTheNewestApprovedHolds) {
+// All controllers lose power; half of the disks are restored from a copy that is two epochs old.
+TEST(DriftProcesses, AfterAPowerLossWithOldDisksTheNewestApprovedVersionHolds) {
   Drift d;
   d.offer(0, version(1, 4));
   ASSERT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
@@ -158,23 +160,24 @@
   EXPECT_TRUE(d.await(10s, "rules_in_step", 12)) << "their files say 5" << d.figures();
   d.rig.pack().kill_all_at_once();
   for (std::size_t i = 0; i < 6; ++i) d.rig.pack().restore_store(i, "old");
-  for (std::size_t i = 0; i < kAll; ++i) std::filesystem::remove(d.rig.pack().dir(i) + "/rules.yaml");
+  for (std::size_t i = 0; i < kControllers; ++i) std::filesystem::remove(d.rig.pack().dir(i) + "/rules.yaml");
   d.rig.pack().start_all();
   EXPECT_TRUE(d.await(30s, "rules_epoch", 3)) << d.figures();
-  // Six have started by 4 attempts, which only another start ends.
+  // Six have started with 4 attempts, which only another start changes.
   EXPECT_TRUE(d.await(10s, "rules_pending", 6)) << d.figures();
   for (std::size_t i = 0; i < 6; ++i) d.restart(i);
   EXPECT_TRUE(d.await(30s, "rules_in_step", 12)) << d.figures();
 }
 
-// Two restarted at a time, over links that lose a fifth and take 100 ms each way: no alarm at any time.
+// Two controllers restart at a time, over links that lose a fifth of the messages and delay each by 100 ms:
+// no alarm may occur.
 TEST(DriftProcesses, RestartsOverLossyAndSlowLinksAreNoDrift) {
   Drift d;
   d.offer(0, version(1, 5));
   ASSERT_TRUE(d.await(15s, "rules_epoch", 1)) << d.figures();
-  const auto all = names(0, kAll);
+  const auto all = names(0, kControllers);
   d.rig.between().set({all, all}, {.drop = 0.2, .delay = 100ms});
-  for (std::size_t i = 0; i < kAll; i += 2) {
+  for (std::size_t i = 0; i < kControllers; i += 2) {
     d.restart(i);
     d.restart(i + 1);
     EXPECT_TRUE(d.stays(2s, "rules_drifted", 0)) << i << "\n" << d.figures();
--- a/tests/fleet/hostile_off_test.cpp
+++ b/tests/fleet/hostile_off_test.cpp
@@ -1,4 +1,4 @@
-// Without a `fleet` section nothing of the fleet is there: no socket, no thread, no figure, no file.
+// Without a `fleet` section there is nothing of the fleet: no socket, no thread, no figure and no file.
 #include <gtest/gtest.h>
 
 #include "hostile.h"
@@ -6,14 +6,14 @@
 namespace reeltack::rig {
 namespace {
 
-TEST(FleetOff, OpensNoSocketStartsNoThreadAndTellsNoFigure) {
+TEST(FleetOff, OpensNoSocketStartsNoThreadAndReportsNoFigure) {
   Rig off({.controllers = 1, .offices = 1, .fleet = false});
   off.pack().start_all();
   const auto use = off.pack().member(0).use();
-  std::printf("off: %d threads, %zu sockets, %.1f MB\n", use.threads, sockets(off.pack().member(0).pid()),
-              use.resident_mb);
+  std::printf("off: %d threads, %zu sockets, %.1f MB\n", use.threads,
+              open_sockets(off.pack().member(0).pid()), use.resident_mb);
   EXPECT_EQ(use.threads, 6);
-  EXPECT_EQ(sockets(off.pack().member(0).pid()), 4U);  // calls, management, bulletin, the one office
+  EXPECT_EQ(open_sockets(off.pack().member(0).pid()), 4U);  // calls, management, bulletin, the one office
   EXPECT_LT(use.resident_mb, 32.0);
   const auto stats = mgmt::ask(off.mgmt(0), "STATS", base::now() + 10s).text;
   EXPECT_NE(stats.find("proxy."), std::string::npos);
--- a/tests/fleet/judged.cpp
+++ b/tests/fleet/judged.cpp
@@ -1,3 +1,4 @@
+// Implementation of the readers in judged.h.
 #include "judged.h"
 
 #include <algorithm>
@@ -41,14 +42,14 @@
 
 EventsByController split_events(const std::vector<load::OfficeEvent>& log,
                                 const std::vector<load::TryRecord>& tries, std::size_t controllers) {
-  std::unordered_map<std::uint64_t, std::size_t> whose;
-  for (const load::TryRecord& t : tries) whose[static_cast<std::uint64_t>(t.id)] = t.target;
+  std::unordered_map<std::uint64_t, std::size_t> target_of;
+  for (const load::TryRecord& t : tries) target_of[static_cast<std::uint64_t>(t.id)] = t.target;
   EventsByController out;
   out.of.resize(controllers);
   for (const load::OfficeEvent& e : log) {
     if (e.what == What::in_service || e.what == What::draining || e.what == What::gone) continue;
-    const auto found = whose.find(e.call);
-    (found == whose.end() ? out.nobody : out.of.at(found->second)).push_back(e);
+    const auto found = target_of.find(e.call);
+    (found == target_of.end() ? out.unattributed : out.of.at(found->second)).push_back(e);
   }
   return out;
 }
--- a/tests/fleet/judged.h
+++ b/tests/fleet/judged.h
@@ -1,10 +1,8 @@
-// What a run of several controllers has shown, told apart by controller: from the callers' tries, the
-// offices' log and the controllers' own lines.
+// What a run of several controllers has shown, per controller: from the callers' attempts, the offices' log
+// and the controllers' own logs. Reads only; what is good enough is up to the tests.
 //
-// Owns: the reading of these. Must never: decide what is good enough; tests do, by what is returned here.
-//
-// A call's id is its try's, so the offices' log says whose each set-up was. Times are of base::now(), which
-// all processes of a machine share.
+// A call's id is that of its attempt, so the offices' log shows which controller sent each set-up. Times are
+// those of base::now(), which all processes of a machine share.
 #pragma once
 
 #include <map>
@@ -18,7 +16,7 @@
 
 namespace reeltack::rig {
 
-// A verdict as a controller's log tells it: `was` empty where it is the first that is told.
+// A verdict from a controller's log. `was` is empty in the first verdict on an office.
 struct VerdictLine {
   Time at{};
   std::uint32_t office = 0;
@@ -27,30 +25,32 @@
 };
 std::vector<VerdictLine> verdicts(const std::string& log);
 
-// When a controller first barred an office, by its own lines; none: it never did.
+// When a controller first barred an office according to its log, if ever.
 std::optional<Time> barred_at(const std::vector<VerdictLine>& lines, std::uint32_t office);
 
-// The offices' log by controller, in order of time. What belongs to none of the tries is under `nobody`.
+// The offices' log split by controller, in order of time. Events of no known attempt are in `unattributed`.
 struct EventsByController {
   std::vector<std::vector<load::OfficeEvent>> of;  // by target
-  std::vector<load::OfficeEvent> nobody;
+  std::vector<load::OfficeEvent> unattributed;
 };
 EventsByController split_events(const std::vector<load::OfficeEvent>& log,
                                 const std::vector<load::TryRecord>& tries, std::size_t controllers);
 
-// The rules of attempts over one controller's part of the log, with what it was told when.
+// Applies the rules on attempts to one controller's part of the log, together with the drain events at the
+// times at which that controller learned of them (`told`).
 load::RulesChecker::Found rules_of(std::vector<load::OfficeEvent> events,
                                    const std::vector<load::OfficeEvent>& told);
 
-// Of one class at one controller, since an instant: when the first try left for it, and when the first stood.
+// For one class at one controller since a given time: when the first attempt was sent and when the first call
+// was established.
 struct FirstAttempts {
   std::optional<Time> attempted_at, established_at;
-  std::size_t refused = 0;  // before the first that stood
+  std::size_t refused = 0;  // attempts refused before the first established call
 };
 FirstAttempts first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
                                std::uint32_t call_class, Time since);
 
-// Offices that were sent set-ups from an instant on.
+// Offices that received set-ups in the given interval.
 std::set<std::uint32_t> offices_used(const std::vector<load::OfficeEvent>& events, Time from,
                                      Time to = Time::max());
 
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -1,5 +1,5 @@
-// Promises over a disk that hangs, is full of records or cannot be written: nobody waits, and none is
-// reported as kept.
+// Promises on a disk that hangs, is full of records or cannot be written: the caller never waits, and no
+// promise is reported as durable that is not.
 #include <atomic>
 #include <thread>
 
@@ -38,7 +38,7 @@
                                             log += event + " " + text + "\n";
                                           });
   }
-  bool has_said(const std::string& text) {
+  bool has_logged(const std::string& text) {
     const std::lock_guard lock(mutex);
     return log.find(text) != std::string::npos;
   }
@@ -51,39 +51,40 @@
   std::string log;
 };
 
-bool take_durable_vote(FleetStorage& keeping, const drift::Vote& vote) {
-  for (int looks = 0; looks < 3000; ++looks) {
-    if (keeping.take_durable_vote() == vote) return true;
+bool becomes_durable(FleetStorage& storage, const drift::Vote& vote) {
+  for (int poll = 0; poll < 3000; ++poll) {
+    if (storage.take_durable_vote() == vote) return true;
     ::usleep(10000);
   }
   return false;
 }
 
-TEST(KeepingHanging, AVoteWaitsAndAnIncarnationGoesOutAsNotDurable) {
+TEST(KeepingHanging, AVoteWaitsAndAnIncarnationIsUsedAlthoughNotDurable) {
   HangingDisk disk;
-  const auto keeping = disk.start();
+  const auto storage = disk.start();
   disk.gate.close();
   const drift::Version version = version_of(5);
   const drift::Vote vote{name_of(version), {}};
-  keeping->put(Store{drift::kHeldRecord, write(version), std::nullopt});
-  keeping->put(Store{drift::kVoteRecord, write(vote), vote});
+  storage->put(Store{drift::kHeldRecord, write(version), std::nullopt});
+  storage->put(Store{drift::kVoteRecord, write(vote), vote});
   ASSERT_TRUE(disk.gate.is_met());
-  const Incarnation next = keeping->incarnation() + 100;
-  keeping->put(Store{kIncarnationKey, std::to_string(next), std::nullopt});
+  const Incarnation next = storage->incarnation() + 100;
+  storage->put(Store{kIncarnationKey, std::to_string(next), std::nullopt});
   const Time now(1000s);
-  EXPECT_FALSE(keeping->take_durable_vote());
-  EXPECT_EQ(keeping->take_durable_incarnation(now), std::nullopt);
-  EXPECT_EQ(keeping->take_durable_incarnation(now + kMaxDurabilityWait - 1ms), std::nullopt);
-  EXPECT_FALSE(disk.has_said("durable=no"));
-  EXPECT_EQ(keeping->take_durable_incarnation(now + kMaxDurabilityWait), next);
-  EXPECT_TRUE(disk.has_said("durable=no incarnation=" + std::to_string(next))) << disk.log;
-  EXPECT_FALSE(keeping->take_durable_vote()) << "a vote that the disk does not have is published";
+  EXPECT_FALSE(storage->take_durable_vote());
+  EXPECT_EQ(storage->take_durable_incarnation(now), std::nullopt);
+  EXPECT_EQ(storage->take_durable_incarnation(now + kMaxDurabilityWait - 1ms), std::nullopt);
+  EXPECT_FALSE(disk.has_logged("durable=no"));
+  EXPECT_EQ(storage->take_durable_incarnation(now + kMaxDurabilityWait), next);
+  EXPECT_TRUE(disk.has_logged("durable=no incarnation=" + std::to_string(next))) << disk.log;
+  EXPECT_FALSE(storage->take_durable_vote()) << "a vote is published that is not on the disk";
   disk.gate.open();
-  EXPECT_TRUE(take_durable_vote(*keeping, vote));
+  EXPECT_TRUE(becomes_durable(*storage, vote));
 }
 
-// The store has no room for the version, which is a new record, and takes the vote, which is not.
-TEST(KeepingHanging, AVoteWhoseVersionHasNoRoomIsNotPublished) {
+// The store has reached its bound on records, so it cannot accept the version, which is a new record; it
+// accepts the vote, whose record exists.
+TEST(KeepingHanging, AVoteIsNotPublishedIfItsVersionCannotBeStored) {
   HangingDisk disk;
   store::StoreSettings where = store::settings(disk.settings.store);
   where.owner = "n0";
@@ -93,41 +94,41 @@
     while (records.size() < where.most_records) records.push_back({std::to_string(records.size()), "1"});
     ASSERT_TRUE(opened.store->write(records, clocks::WallTime{}).ok());
   }
-  const auto keeping = disk.start();
+  const auto storage = disk.start();
   const drift::Version version = version_of(5);
   const drift::Vote vote{name_of(version), {}};
-  keeping->put(Store{drift::kHeldRecord, write(version), std::nullopt});
-  keeping->put(Store{drift::kVoteRecord, write(vote), vote});
-  for (int looks = 0; looks < 3000 && keeping->counts().waiting > 1; ++looks) ::usleep(10000);
-  EXPECT_EQ(keeping->counts().waiting, 1u) << "the vote's record is not written";
-  EXPECT_FALSE(keeping->take_durable_vote()) << "a vote is published whose version is not kept";
+  storage->put(Store{drift::kHeldRecord, write(version), std::nullopt});
+  storage->put(Store{drift::kVoteRecord, write(vote), vote});
+  for (int poll = 0; poll < 3000 && storage->counts().waiting > 1; ++poll) ::usleep(10000);
+  EXPECT_EQ(storage->counts().waiting, 1u) << "the vote's record is not written";
+  EXPECT_FALSE(storage->take_durable_vote()) << "a vote is published although its version is not stored";
 }
 
-TEST(KeepingHanging, WhatAReadOnlyStoreHoldsIsUsedAndWritesResumeByThemselves) {
+TEST(KeepingHanging, AReadOnlyStoreIsUsedAndWritesResumeWithoutARestart) {
   HangingDisk disk;
   const drift::Version before = version_of(5), next = version_of(6);
   const drift::Vote vote_before{name_of(before), {}}, vote_next{name_of(next), {}};
   Incarnation incarnation = 0;
   {
-    const auto keeping = disk.start();
-    incarnation = keeping->incarnation();
-    keeping->put(Store{drift::kHeldRecord, write(before), std::nullopt});
-    keeping->put(Store{drift::kVoteRecord, write(vote_before), vote_before});
-    ASSERT_TRUE(take_durable_vote(*keeping, vote_before));
+    const auto storage = disk.start();
+    incarnation = storage->incarnation();
+    storage->put(Store{drift::kHeldRecord, write(before), std::nullopt});
+    storage->put(Store{drift::kVoteRecord, write(vote_before), vote_before});
+    ASSERT_TRUE(becomes_durable(*storage, vote_before));
   }
   disk.read_only = true;
-  const auto keeping = disk.start();
-  EXPECT_TRUE(disk.has_said("how=read_only records=3")) << disk.log;
-  EXPECT_TRUE(disk.has_said("durable=no incarnation=")) << disk.log;
-  EXPECT_EQ(keeping->rules().vote, write(vote_before));
-  EXPECT_EQ(keeping->rules().held, write(before));
-  EXPECT_GT(keeping->incarnation(), incarnation);
-  keeping->put(Store{drift::kHeldRecord, write(next), std::nullopt});
-  keeping->put(Store{drift::kVoteRecord, write(vote_next), vote_next});
-  EXPECT_FALSE(keeping->take_durable_vote());
+  const auto storage = disk.start();
+  EXPECT_TRUE(disk.has_logged("how=read_only records=3")) << disk.log;
+  EXPECT_TRUE(disk.has_logged("durable=no incarnation=")) << disk.log;
+  EXPECT_EQ(storage->rules().vote, write(vote_before));
+  EXPECT_EQ(storage->rules().held, write(before));
+  EXPECT_GT(storage->incarnation(), incarnation);
+  storage->put(Store{drift::kHeldRecord, write(next), std::nullopt});
+  storage->put(Store{drift::kVoteRecord, write(vote_next), vote_next});
+  EXPECT_FALSE(storage->take_durable_vote());
   disk.read_only = false;
-  EXPECT_TRUE(take_durable_vote(*keeping, vote_next)) << disk.log;
-  EXPECT_TRUE(disk.has_said("state=opened how=opened")) << disk.log;
+  EXPECT_TRUE(becomes_durable(*storage, vote_next)) << disk.log;
+  EXPECT_TRUE(disk.has_logged("state=opened how=opened")) << disk.log;
 }
 
 }  // namespace
--- a/tests/fleet/link_codec_fuzz.cpp
+++ b/tests/fleet/link_codec_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzzing of what a peer may send: the first byte says whether a datagram or a frame follows. What is taken
-// is taken again, as the same bytes, once it was written.
+// Fuzzes what a peer may send. The first byte selects datagram or frame. What is decoded must encode to bytes
+// that decode and encode to the same bytes again.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -9,7 +9,7 @@
 namespace {
 
 template <class Decode>
-void there_and_back(std::string_view bytes, std::size_t skip, Decode decode) {
+void check_round_trip(std::string_view bytes, std::size_t skip, Decode decode) {
   using namespace reeltack::fleet;
   std::string again;
   try {
@@ -17,7 +17,7 @@
     if (read.envelope.version != kNewestVersion) return;  // the envelope alone was read
     again = link::encode(read).substr(skip);
   } catch (const link::CodecError&) {
-    return;  // no message, or longer than is sent
+    return;  // invalid, or too long to be sent
   }
   if (link::encode(decode(again)).substr(skip) != again) std::abort();
 }
@@ -29,10 +29,10 @@
   if (size == 0) return 0;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
   if ((data[0] & 1U) == 0 && link::is_push(bytes))
-    there_and_back(bytes, 0, link::decode_push);
+    check_round_trip(bytes, 0, link::decode_push);
   else if ((data[0] & 1U) == 0)
-    there_and_back(bytes, 0, link::decode_message);
+    check_round_trip(bytes, 0, link::decode_message);
   else
-    there_and_back(bytes, link::kFrameLengthBytes, link::decode_exchange);
+    check_round_trip(bytes, link::kFrameLengthBytes, link::decode_exchange);
   return 0;
 }
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -1,5 +1,5 @@
-// The fleet's messages as bytes: there and back, cut anywhere, changed anywhere, of other versions, out of
-// range.
+// The encoding of the fleet's messages: round trips, truncation and corruption at every byte, other versions,
+// bounds.
 #include <gtest/gtest.h>
 
 #include "fleet/facts/sizes.h"
@@ -12,8 +12,8 @@
 constexpr std::uint64_t kSeed = 20261202;
 
 std::string body(const Exchange& e) { return encode(e).substr(kFrameLengthBytes); }
-template <class Try>
-std::string error_of(Try attempt) {
+template <class Attempt>
+std::string error_of(Attempt attempt) {
   try {
     attempt();
   } catch (const CodecError& error) {
@@ -23,11 +23,11 @@
   return "";
 }
 
-members::Update plain(std::string name) {
+members::Update update_named(std::string name) {
   return {MemberId{1}, 1, members::Health::alive, {1, 1}, std::move(name), "z", {}};
 }
 
-TEST(LinkCodec, EveryFieldComesBack) {
+TEST(LinkCodec, EveryFieldSurvivesARoundTrip) {
   Random random(kSeed);
   for (int i = 0; i < 2000; ++i) {
     const members::Message message = random.message();
@@ -36,10 +36,10 @@
     same(message, decode_message(bytes));
     EXPECT_FALSE(is_push(bytes));
     const news::Message news = random.push();
-    const std::string told = encode(news);
-    EXPECT_EQ(told.size(), wire_size(news));
-    EXPECT_TRUE(is_push(told));
-    same(news, decode_push(told));
+    const std::string encoded = encode(news);
+    EXPECT_EQ(encoded.size(), wire_size(news));
+    EXPECT_TRUE(is_push(encoded));
+    same(news, decode_push(encoded));
     const Exchange exchange = random.exchange();
     const std::string frame = encode(exchange);
     EXPECT_EQ(frame.size(), wire_size(exchange));
@@ -49,8 +49,9 @@
   }
 }
 
-// The deciders fill messages by their own estimates; what these leave out is bounded for each part.
-TEST(LinkCodec, TheDecidersEstimatesHold) {
+// The components that fill messages use size estimates of their own; for exchanges, which may exceed these,
+// the excess per part is bounded.
+TEST(LinkCodec, SizeEstimatesOfTheSendersHold) {
   Random random(kSeed + 5);
   for (int i = 0; i < 2000; ++i) {
     members::Message message = random.message();
@@ -70,14 +71,14 @@
   }
 }
 
-TEST(LinkCodec, CutAnywhereOrChangedAnywhereIsAnErrorAtWorst) {
+TEST(LinkCodec, TruncationOrCorruptionAnywhereIsAnErrorAtWorst) {
   Random random(kSeed + 1);
   for (int i = 0; i < 16; ++i) {
     const std::string datagram = encode(random.message());
     const std::string frame = body(random.exchange());
     const std::string news = encode(random.push());
     for (const std::string& bytes : {datagram, frame, news}) {
-      // What passes is within the bounds: it can be written again, but for its length.
+      // What is accepted is within the bounds and can be encoded again, unless it is too long.
       const auto attempt = [&](const std::string& b) {
         return error_of([&] {
           (void)(bytes == frame  ? encode(decode_exchange(b))
@@ -110,13 +111,13 @@
   EXPECT_EQ(error({"\x32\x02\x18\x01", 4}), "updates[0].member: missing");
   EXPECT_EQ(error({"\x10\x06", 2}), "kind: unknown: 6");
   EXPECT_EQ(error({"\x32\x7f", 2}), "message: not a message of the protocol");
-  // News, as a program reads it that does not know of it; and news without what it must have.
+  // An eager push decoded by a program that does not know pushes, and pushes that lack required fields.
   news::Message news = random.push();
   news.facts.resize(1);
-  const std::string told = encode(news);
-  EXPECT_EQ(error_of([&] { (void)decode_message(told); }).substr(0, 26), "message: unknown fields of");
+  const std::string encoded = encode(news);
+  EXPECT_EQ(error_of([&] { (void)decode_message(encoded); }).substr(0, 26), "message: unknown fields of");
   const auto of_news = [&](const std::string& more) {
-    return error_of([&] { (void)decode_push(told + more); });
+    return error_of([&] { (void)decode_push(encoded + more); });
   };
   EXPECT_EQ(of_news({"\xaa\x01\x00", 3}), "facts[1].owner: missing");
   EXPECT_EQ(of_news({"\x10\x00", 2}), "news: unknown fields of 2 bytes");
@@ -132,17 +133,17 @@
   EXPECT_EQ(error_of([] { (void)frame_length(std::string(4, '\0')); }), "length: 0");
 }
 
-TEST(LinkCodec, BoundsHoldBothWays) {
+TEST(LinkCodec, BoundsAreEnforcedWhenEncoding) {
   members::Message m = Random(kSeed + 3).message();
   m.kind = members::Kind::ping;
-  m.updates.assign(members::kMaxUpdates + 1, plain(""));
+  m.updates.assign(members::kMaxUpdates + 1, update_named(""));
   const auto error = [](const auto& of) { return error_of([&] { (void)encode(of); }); };
   EXPECT_EQ(error(m), "updates: 17 of them, 16 at most");
   m.kind = members::Kind::table;
   EXPECT_EQ(error(m), "");
-  m.updates.assign(members::kMaxUpdates + 1, plain(std::string(64, 'n')));
+  m.updates.assign(members::kMaxUpdates + 1, update_named(std::string(64, 'n')));
   EXPECT_EQ(error(m).substr(0, 9), "message: ") << "over 1400 bytes";
-  m.updates.assign(1, plain(std::string(65, 'n')));
+  m.updates.assign(1, update_named(std::string(65, 'n')));
   EXPECT_EQ(error(m), "updates[0].name: 65 bytes, 64 at most");
   m.updates[0].name = "\xc3";
   EXPECT_EQ(error(m), "updates[0].name: not valid UTF-8");
@@ -188,13 +189,13 @@
   EXPECT_EQ(error(e).substr(0, 10), "exchange: ") << "over 16 KiB";
 }
 
-TEST(LinkCodec, OfAnotherVersionTheEnvelopeIsRead) {
+TEST(LinkCodec, OnlyTheEnvelopeIsReadOfAnotherVersion) {
   Random random(kSeed + 4);
   for (const std::uint32_t version : {0U, kNewestVersion + 1, 0xffffffffU}) {
     members::Message m = random.message();
-    m.updates.assign(2, plain("a"));
+    m.updates.assign(2, update_named("a"));
     m.envelope.version = version;
-    // Fields of that version's own, and one of ours with another meaning.
+    // An unknown field, and one of ours with another meaning.
     const members::Message read = decode_message(encode(m) + std::string("\x78\x01\x32\x01\xff", 5));
     EXPECT_EQ(fields(m.envelope), fields(read.envelope));
     EXPECT_TRUE(read.updates.empty());
--- a/tests/fleet/link_rig.h
+++ b/tests/fleet/link_rig.h
@@ -1,4 +1,4 @@
-// Links on loopback with a scripted driver, and raw peers that do what no link does.
+// Links on loopback with a scripted driver, and raw sockets for peers that violate the protocol.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,9 +15,10 @@
 namespace reeltack::fleet::link {
 
 using namespace std::chrono_literals;
-constexpr auto kWait = 20s;  // until an event that must come; never a verdict by itself
+// Upper bound for events that must occur. No test measures a time by it.
+constexpr auto kWait = 20s;
 
-// 127.x.y.last, x and y of this process.
+// 127.x.y.last, with x and y derived from the process id so that parallel tests do not collide.
 inline Endpoint own(unsigned last) {
   const auto pid = static_cast<unsigned>(::getpid());
   return {127U << 24U | (100 + (pid >> 8U & 63U)) << 16U | (pid & 255U) << 8U | last, 7946};
@@ -50,39 +51,39 @@
   return e;
 }
 
-// Notes every event, answers by `react`, and does what the test hands it.
+// Records every event, calls `react` on it, and carries out the actions that a test passes to act().
 class ScriptedDriver : public Driver {
  public:
   using React = std::function<void(const CoordinatorEvent&, CoordinatorActions&)>;
   React react;
   std::function<void()> ticking;
   CoordinatorActions first, last;
-  std::atomic<std::int64_t> every = 0;  // ns between ticks; 0: none
+  std::atomic<std::int64_t> every = 0;  // nanoseconds between ticks; 0: no ticks
 
-  void begin(Time now, CoordinatorActions& actions) override { begun_ = now, actions = first; }
+  void begin(Time now, CoordinatorActions& actions) override { last_tick_ = now, actions = first; }
   void on(Time, const CoordinatorEvent& event, CoordinatorActions& actions) override {
     const std::lock_guard lock(mutex_);
     if (std::holds_alternative<CoreEvent>(event)) {
-      actions.swap(to_do_);
-      to_do_.clear();
+      actions.swap(requested_);
+      requested_.clear();
     }
     if (react) react(event, actions);
     events_.push_back(event);
     changed_.notify_all();
   }
   void tick(Time now, CoordinatorActions&) override {
-    begun_ = now;
+    last_tick_ = now;
     if (ticking) ticking();
   }
   void leave(Time, CoordinatorActions& actions) override { actions = last; }
-  [[nodiscard]] Time next() const override { return every == 0 ? Time::max() : begun_ + Duration(every); }
+  [[nodiscard]] Time next() const override { return every == 0 ? Time::max() : last_tick_ + Duration(every); }
 
-  // Done on the link's thread; returns once it was handed over.
+  // Carries out the actions on the link's thread; returns once the link has taken them.
   void act(Link& link, CoordinatorActions actions) {
     std::unique_lock lock(mutex_);
-    for (CoordinatorAction& action : actions) to_do_.push_back(std::move(action));
+    for (CoordinatorAction& action : actions) requested_.push_back(std::move(action));
     link.from_core(recovery::SourceUnreachable{});
-    EXPECT_TRUE(changed_.wait_for(lock, kWait, [this] { return to_do_.empty(); }));
+    EXPECT_TRUE(changed_.wait_for(lock, kWait, [this] { return requested_.empty(); }));
   }
   template <class Kind>
   bool wait(std::size_t times = 1) {
@@ -112,11 +113,11 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<CoordinatorEvent> events_;
-  CoordinatorActions to_do_;
-  Time begun_{};
+  CoordinatorActions requested_;
+  Time last_tick_{};
 };
 
-// A link with its script, started.
+// A started link with its scripted driver.
 struct Node {
   explicit Node(unsigned last, const std::function<void(LinkSettings&)>& change = {},
                 ScriptedDriver::React react = {}) {
@@ -131,12 +132,12 @@
   std::unique_ptr<Link> link;
 };
 
-// A peer's bare socket; reads with a bound, so that no test hangs.
+// A plain socket of a peer. Reads time out, so that no test hangs.
 class RawSocket {
  public:
   explicit RawSocket(int type, unsigned last) : fd_(::socket(AF_INET, type | SOCK_CLOEXEC, 0)) {
-    const timeval most{20, 0};
-    ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
+    const timeval timeout{20, 0};
+    ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     Endpoint at = own(last);
     at.port = 0;
     EXPECT_EQ(bind(at), 0);
@@ -161,12 +162,12 @@
   bool send(const std::string& bytes) const {
     return ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
-  // True once the far end has closed; what comes before is dropped.
+  // Discards input until the far end closes; true if it did.
   [[nodiscard]] bool closed() const {
-    std::array<char, 4096> some{};
-    ssize_t got = 1;
-    while (got > 0) got = ::recv(fd_, some.data(), some.size(), 0);
-    return got == 0 || errno == ECONNRESET;
+    std::array<char, 4096> buffer{};
+    ssize_t received = 1;
+    while (received > 0) received = ::recv(fd_, buffer.data(), buffer.size(), 0);
+    return received == 0 || errno == ECONNRESET;
   }
 
  private:
--- a/tests/fleet/power.cpp
+++ b/tests/fleet/power.cpp
@@ -194,7 +194,7 @@
   const std::uint32_t drained = kDrained + 1;
   const std::uint32_t gone = kGone + 1;
   const EventsByController dealt = split_events(rig.offices().take_log(), played.tries, members_.size());
-  EXPECT_TRUE(dealt.nobody.empty()) << dealt.nobody.size();
+  EXPECT_TRUE(dealt.unattributed.empty()) << dealt.unattributed.size();
   Duration latest = Duration::min();
   std::size_t max_changes = 0;
   std::uint64_t undecided = 0;
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -1,3 +1,4 @@
+// Implementation of the rig.
 #include "rig.h"
 
 #include <nlohmann/json.hpp>
@@ -52,11 +53,11 @@
   }
 }
 
-Time Rig::ready_time_of(std::size_t i, Duration most) const {
-  for (const Time by = base::now() + most; base::now() < by; std::this_thread::sleep_for(2ms)) {
+Time Rig::ready_time_of(std::size_t i, Duration limit) const {
+  for (const Time by = base::now() + limit; base::now() < by; std::this_thread::sleep_for(2ms)) {
     try {
       if (mgmt::ask(mgmt(i), "READY", by).ok) break;
-    } catch (const mgmt::MgmtError&) {  // not yet there
+    } catch (const mgmt::MgmtError&) {  // not listening yet
     }
   }
   return base::now();
@@ -81,7 +82,7 @@
 connections: 24
 )",
       "rig");
-  out.lateness_bound = 10s;  // of a busy machine
+  out.lateness_bound = 10s;  // tolerates a busy machine
   return out;
 }
 
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -1,7 +1,8 @@
-// A fleet of real processes with everything between them: controllers, offices, bulletin, relays and callers.
+// A fleet of real processes and everything around it: controllers, offices, bulletins, the fault proxy and
+// callers.
 //
-// Owns: the stand-ins of one test, the controllers' files, and the load that is played on them.
-// Must never: judge; tests do. Whatever it started ends with it.
+// Holds the fakes of one test, the controllers' files and the load. It does not judge results. Every process
+// that it started ends with it.
 #pragma once
 
 #include <unistd.h>
@@ -27,25 +28,26 @@
 
 struct RigSettings {
   std::string binary = REELTACK_BINARY;
-  std::string first_binary = {};  // of n0; empty: as the others
+  std::string first_binary = {};  // binary of n0; empty: the same as the others
   std::size_t controllers = 12;
-  std::size_t without_fleet = 0;  // the last so many of them, as without the section
+  std::size_t without_fleet = 0;  // the last so many of them have no `fleet` section
   std::size_t offices = 8;
-  bool fleet = true;          // false: each alone, as without the section
-  bool store = true;          // with the fleet: what is kept
-  bool offices_known = true;  // false: started with an empty list, and no bulletin tells it
-  // Two bulletins told by hand (lists()), the second followed by the later half; the offices' own tells
-  // nobody.
+  bool fleet = true;          // false: no controller has a `fleet` section
+  bool store = true;          // with the fleet: whether state is stored
+  bool offices_known = true;  // false: started with an empty office list and without a bulletin
+  // Two bulletins filled by the test (lists()); the second half of the controllers follows the second. The
+  // offices' own bulletin has no followers.
   bool two_lists = false;
-  std::size_t zones = 3;         // controllers are dealt out to them
-  double rate = 120.0;           // set-ups a second over all
-  Duration load_duration = 20s;  // of the load
+  std::size_t zones = 3;         // controllers are distributed over the zones in turn
+  double rate = 120.0;           // set-ups per second over all controllers
+  Duration load_duration = 20s;  // how long the load lasts
   std::uint64_t seed = 1;
   std::string processor = "{set_up: 8ms, answer: 4ms, release: 4ms, refuse: 2ms, repeat: 2ms}";
-  std::string troubles = {};  // of the offices, as in a centrales' file; empty: none
+  std::string troubles = {};  // faults of the offices, as in a centrales file; empty: none
   std::string recovery = {};  // YAML flow mapping for `recovery`; empty: the defaults
-  Duration ramp = 15s;        // of cold offices
-  // Each may name a file with a version of the rules, rules.yaml in its folder; the last word on its setup.
+  Duration ramp = 15s;        // ramp of cold offices
+  // Whether each controller names a file with a version of the rules, rules.yaml in its folder. `adjust` may
+  // change its set-up last.
   bool rules = false;
   std::function<void(std::size_t, standin::ControllerSetup&)> adjust = {};
 };
@@ -59,11 +61,11 @@
   [[nodiscard]] standin::Between& between() { return *between_; }
   [[nodiscard]] standin::Centrales& offices() { return *offices_; }
   [[nodiscard]] Lists& lists() { return *lists_; }
-  // As the first whole list has it: ready, long there. By position.
+  // The list entry of the office with this index: ready and long in service.
   [[nodiscard]] standin::Bulletin::Entry entry(std::size_t office) const;
   [[nodiscard]] base::Address sip(std::size_t i) const { return {host_, port(5100, i)}; }
   [[nodiscard]] base::Address mgmt(std::size_t i) const { return {host_, port(5300, i)}; }
-  // The bulletin is cut off from every controller, or there again.
+  // Disconnects the bulletin from every controller, or connects it again.
   void set_discovery_reachable(bool on) {
     if (on)
       between_->clear({{"*"}, {"bulletin"}, true});
@@ -71,15 +73,15 @@
       between_->set({{"*"}, {"bulletin"}, true}, standin::Fault{.cut = true});
   }
 
-  // proxy.fleet_NAME of a controller's figures; -1: not told, or it does not answer.
+  // proxy.fleet_NAME of a controller's figures; -1 if it is missing or the controller does not answer.
   [[nodiscard]] std::int64_t figure(std::size_t i, const std::string& name) const;
-  // When it answered READY for the first time; it has been launched. Several may be awaited side by side.
-  [[nodiscard]] Time ready_time_of(std::size_t i, Duration most) const;
-  [[nodiscard]] std::int64_t list_number() const;  // of the bulletin's newest event
-  // Waits until what `holds` says is so for every controller that is up; false: not within `most`.
+  // Waits until a launched controller answers READY and returns that time. May be called concurrently.
+  [[nodiscard]] Time ready_time_of(std::size_t i, Duration limit) const;
+  [[nodiscard]] std::int64_t list_number() const;  // number of the bulletin's newest event
+  // Waits until `holds` returns true; false if it does not within `limit`.
   template <typename Holds>
-  bool until(Duration most, Holds holds) {
-    for (const Time end = base::now() + most; base::now() < end;) {
+  bool until(Duration limit, Holds holds) {
+    for (const Time end = base::now() + limit; base::now() < end;) {
       if (holds()) return true;
       ::usleep(20'000);
     }
@@ -92,7 +94,7 @@
     return true;
   }
 
-  // A first load for so long, as play() with its end awaited.
+  // Plays a first load of this duration and waits for its end.
   void warm(Duration lasts) {
     load::Scenario scenario = this->scenario();
     scenario.duration = lasts;
@@ -101,7 +103,7 @@
       options.targets.push_back({load::Target::Kind::sip, sip(i)});
     static_cast<void>(load::play(scenario, options));
   }
-  // The load, on a thread of its own, to all controllers, or to those from one on.
+  // Starts the load on a thread of its own, against all controllers or those from index `from` on.
   void play(std::size_t from = 0) {
     playing_ = std::async(std::launch::async, [this, from] {
       load::PlayerOptions options;
