--- a/tests/fleet/judged.cpp
+++ b/tests/fleet/judged.cpp
@@ -1,3 +1,4 @@
+// Implementation of the readers in judged.h.
 #include "judged.h"
 
 #include <algorithm>
@@ -39,16 +40,16 @@
   return std::nullopt;
 }
 
-Dealt deal(const std::vector<load::OfficeEvent>& log, const std::vector<load::TryRecord>& tries,
-           std::size_t controllers) {
-  std::unordered_map<std::uint64_t, std::size_t> whose;
-  for (const load::TryRecord& t : tries) whose[static_cast<std::uint64_t>(t.id)] = t.target;
-  Dealt out;
+EventsByController split_events(const std::vector<load::OfficeEvent>& log,
+                                const std::vector<load::TryRecord>& tries, std::size_t controllers) {
+  std::unordered_map<std::uint64_t, std::size_t> target_of;
+  for (const load::TryRecord& t : tries) target_of[static_cast<std::uint64_t>(t.id)] = t.target;
+  EventsByController out;
   out.of.resize(controllers);
   for (const load::OfficeEvent& e : log) {
     if (e.what == What::in_service || e.what == What::draining || e.what == What::gone) continue;
-    const auto found = whose.find(e.call);
-    (found == whose.end() ? out.nobody : out.of.at(found->second)).push_back(e);
+    const auto found = target_of.find(e.call);
+    (found == target_of.end() ? out.unattributed : out.of.at(found->second)).push_back(e);
   }
   return out;
 }
@@ -63,18 +64,18 @@
   return rules.found();
 }
 
-First first_of(const std::vector<load::TryRecord>& tries, std::size_t target, std::uint32_t call_class,
-               Time since) {
-  First out;
+FirstAttempts first_results_of(const std::vector<load::TryRecord>& tries, std::size_t target,
+                               std::uint32_t call_class, Time since) {
+  FirstAttempts out;
   const auto earlier = [](std::optional<Time>& first, Time at) { first = std::min(first.value_or(at), at); };
   for (const load::TryRecord& t : tries) {
     if (t.target != target || t.call_class != call_class || t.sent < since) continue;
-    earlier(out.came, t.sent);
-    if (t.end == load::TryEnd::stands) earlier(out.stood, t.ended);
+    earlier(out.attempted_at, t.sent);
+    if (t.end == load::TryEnd::stands) earlier(out.established_at, t.ended);
   }
   for (const load::TryRecord& t : tries)
     if (t.target == target && t.call_class == call_class && t.sent >= since &&
-        t.end == load::TryEnd::refused && (!out.stood || t.ended < *out.stood))
+        t.end == load::TryEnd::refused && (!out.established_at || t.ended < *out.established_at))
       ++out.refused;
   return out;
 }
--- a/tests/fleet/kept_stage_test.cpp
+++ b/tests/fleet/kept_stage_test.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-TEST(Keeping, AStageStoredByOneRunHasAKnownAgeInTheNext) {
-  Disk disk;
+TEST(FleetStorage, AStageStoredByOneRunHasAKnownAgeInTheNext) {
+  ControllerDisk disk;
   const clocks::BootTime before = base::boot_now();
   {
     const auto keeping = disk.start();
@@ -22,9 +22,9 @@
     keeping->flush(30s);
   }
   const auto keeping = disk.start();
-  ASSERT_TRUE(keeping->kept());
-  ASSERT_TRUE(keeping->kept()->age);
-  EXPECT_LE(*keeping->kept()->age, clocks::elapsed(before, base::boot_now()));
+  ASSERT_TRUE(keeping->persisted_state());
+  ASSERT_TRUE(keeping->persisted_state()->age);
+  EXPECT_LE(*keeping->persisted_state()->age, clocks::elapsed(before, base::boot_now()));
 }
 
 // The age of the stored stage, with the wall clock correct or stepped by up to an hour while the controller
@@ -32,12 +32,12 @@
 class StoredStage : public ::testing::TestWithParam<std::chrono::seconds> {
  protected:
   [[nodiscard]] std::optional<Duration> age(const clocks::BootTime& written) const {
-    Disk disk;
-    disk.leave_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
+    ControllerDisk disk;
+    disk.write_stage(write(recovery::StageValue{.stage = recovery::Stage::full}),
                      base::wall_now() - kAge - GetParam(), written);
     const auto keeping = disk.start();
-    EXPECT_TRUE(keeping->kept());
-    return keeping->kept() ? keeping->kept()->age : std::nullopt;
+    EXPECT_TRUE(keeping->persisted_state());
+    return keeping->persisted_state() ? keeping->persisted_state()->age : std::nullopt;
   }
   static constexpr Duration kAge = 10min;
 };
--- a/tests/fleet/power.cpp
+++ b/tests/fleet/power.cpp
@@ -15,7 +15,7 @@
   out.processor =
       "{set_up: 8ms, answer: 4ms, release: 4ms, refuse: 2ms, repeat: 2ms, cold_from: 0.33, ramp: 15s, "
       "fall_multiple: 2}";
-  out.lasts = 90s;
+  out.load_duration = 90s;
   return out;
 }
 
@@ -50,7 +50,7 @@
 
 void Power::lose_power(Duration outage) {
   rig.pack().kill_all_at_once();
-  rig.discovery(false);
+  rig.set_discovery_reachable(false);
   change_offices();
   std::this_thread::sleep_for(outage);
 }
@@ -67,7 +67,7 @@
   }
   std::vector<std::future<Time>> up;
   for (const std::size_t i : started)
-    up.push_back(std::async(std::launch::async, [this, i] { return rig.ready_at(i, 20s); }));
+    up.push_back(std::async(std::launch::async, [this, i] { return rig.ready_time_of(i, 20s); }));
   for (std::size_t n = 0; n < started.size(); ++n) members_[started[n]].ready = up[n].get();
   for (const std::size_t i : started) rig.pack().await_ready(i);
   ready = base::now();
@@ -145,7 +145,7 @@
 
 std::unique_ptr<load::Played> Power::end_load() {
   load_running_ = false;
-  rig.stop_playing();
+  rig.stop_load();
   return rig.played();
 }
 
@@ -193,8 +193,8 @@
 void Power::judge_rules(const load::Played& played) {
   const std::uint32_t drained = kDrained + 1;
   const std::uint32_t gone = kGone + 1;
-  const Dealt dealt = deal(rig.offices().take_log(), played.tries, members_.size());
-  EXPECT_TRUE(dealt.nobody.empty()) << dealt.nobody.size();
+  const EventsByController dealt = split_events(rig.offices().take_log(), played.tries, members_.size());
+  EXPECT_TRUE(dealt.unattributed.empty()) << dealt.unattributed.size();
   Duration latest = Duration::min();
   std::size_t max_changes = 0;
   std::uint64_t undecided = 0;
@@ -228,12 +228,12 @@
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (!members_[i].ready) continue;
     ++returned_count;
-    const First first = first_of(played.tries, i, kUrgent, *members_[i].launched);
-    if (!first.came) continue;  // it received no urgent call
-    ASSERT_TRUE(first.stood) << Rig::name(i) << " served no urgent call";
+    const FirstAttempts first = first_results_of(played.tries, i, kUrgent, *members_[i].launched);
+    if (!first.attempted_at) continue;  // it received no urgent call
+    ASSERT_TRUE(first.established_at) << Rig::name(i) << " served no urgent call";
     // It can serve none before it is ready, nor before one has arrived.
-    const Duration wait = *first.stood - std::max(*first.came, *members_[i].ready);
-    from_start.push_back(seconds(*first.stood - *members_[i].launched));
+    const Duration wait = *first.established_at - std::max(*first.attempted_at, *members_[i].ready);
+    from_start.push_back(seconds(*first.established_at - *members_[i].launched));
     waited.push_back(seconds(wait));
     EXPECT_LT(wait, 1s + kSlack) << Rig::name(i) << " refused " << first.refused << " before";
   }
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -1,3 +1,4 @@
+// Implementation of the rig.
 #include "rig.h"
 
 #include <nlohmann/json.hpp>
@@ -52,11 +53,11 @@
   }
 }
 
-Time Rig::ready_at(std::size_t i, Duration most) const {
-  for (const Time by = base::now() + most; base::now() < by; std::this_thread::sleep_for(2ms)) {
+Time Rig::ready_time_of(std::size_t i, Duration limit) const {
+  for (const Time by = base::now() + limit; base::now() < by; std::this_thread::sleep_for(2ms)) {
     try {
       if (mgmt::ask(mgmt(i), "READY", by).ok) break;
-    } catch (const mgmt::MgmtError&) {  // not yet there
+    } catch (const mgmt::MgmtError&) {  // not listening yet
     }
   }
   return base::now();
@@ -69,7 +70,8 @@
 load::Scenario Rig::scenario() const {
   load::Scenario out = load::parse_scenario(
       "seed: " + std::to_string(settings_.seed) + "\nduration: " +
-          std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(settings_.lasts).count()) +
+          std::to_string(
+              std::chrono::duration_cast<std::chrono::milliseconds>(settings_.load_duration).count()) +
           "ms\narrivals: {process: poisson, rate: " + std::to_string(settings_.rate) + R"(}
 classes:
   - {name: estado-viaje, share: 0.61, aim: 1500ms, deadline: 9s, patience: 35%, worth: 1, hold: {mean: 1s}}
@@ -80,7 +82,7 @@
 connections: 24
 )",
       "rig");
-  out.lateness_bound = 10s;  // of a busy machine
+  out.lateness_bound = 10s;  // tolerates a busy machine
   return out;
 }
 
@@ -91,10 +93,10 @@
              ("reeltack-rig-" + std::to_string(::getpid()) + "-" + std::to_string(i)))
                 .string();
   out.name = name(i);
-  if (settings_.fleet && i + settings_.alone < settings_.controllers) out.fleet = yaml(i);
+  if (settings_.fleet && i + settings_.without_fleet < settings_.controllers) out.fleet = yaml(i);
   out.sip = sip(i);
   out.mgmt = base::to_text(mgmt(i));
-  if (settings_.know_list) {
+  if (settings_.offices_known) {
     const bool second = settings_.two_lists && i >= settings_.controllers / 2;
     out.bulletin = base::to_text(between_->relay(name(i), second ? "bulletin2" : "bulletin"));
     out.known = offices_->known_json();
@@ -115,7 +117,7 @@
   }
   std::string out = "fleet:\n  id: rig\n  zone: z" + std::to_string(i % settings_.zones) + "\n  listen: \"" +
                     base::to_text(link(i)) +
-                    "\"\n  size: " + std::to_string(settings_.controllers - settings_.alone) +
+                    "\"\n  size: " + std::to_string(settings_.controllers - settings_.without_fleet) +
                     "\n  seeds: [" + seeds + "]\n  via: " + between_->via_yaml(name(i)) + "\n";
   if (settings_.store)
     out += "  store: \"" +
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/sightings_test.cpp
@@ -22,7 +22,7 @@
 }
 
 struct Reader {  // on the link's thread
-  Sightings sightings{MemberId{7}};
+  OfficeObservations sightings{MemberId{7}};
   std::map<ServerId, recovery::OfficeLoad> sum;
   std::map<ServerId, std::vector<OfficeState>> states;
   std::map<ServerId, double> carried;
@@ -54,7 +54,7 @@
 
 // Compared with expected counting at random paces: the reader collects only when next() says so, and by then
 // every outcome is reported.
-TEST(Sightings, AreCompleteAndReportedInTime) {
+TEST(OfficeObservations, AreCompleteAndReportedInTime) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -63,7 +63,7 @@
     std::map<ServerId, Time> unreported_since;
     std::map<ServerId, bool> is_up;
     std::map<ServerId, Time> changed_at;
-    for (std::uint32_t id = 1; id <= 4; ++id) reader.sightings.name(office(id));
+    for (std::uint32_t id = 1; id <= 4; ++id) reader.sightings.track(office(id));
     Time now{1h};
     bool opens = below(2) == 0;
     const std::uint64_t bad = below(2) == 0 ? 40 : 4;  // about one outcome in this many
@@ -117,9 +117,9 @@
   }
 }
 
-TEST(Sightings, AThousandCallsPerSecondAreReportedOncePerSecond) {
+TEST(OfficeObservations, AThousandCallsPerSecondAreReportedOncePerSecond) {
   Reader reader;
-  reader.sightings.name(office(1));
+  reader.sightings.track(office(1));
   const Time begin{1h};
   for (int n = 0; n <= 10'000; ++n) {
     const Time now = begin + n * 1ms;
@@ -135,15 +135,15 @@
   EXPECT_EQ(reader.carried[ServerId{1}], 0.0) << "the office no longer carries calls";
 }
 
-TEST(Sightings, ObservationsOfAnEarlierInstanceAreNotReportedForThisOne) {
+TEST(OfficeObservations, ObservationsOfAnEarlierInstanceAreNotReportedForThisOne) {
   Reader reader;
   const Time now{1h};
   (void)reader.sightings.saw(now, ServerId{1}, OfficeObservation::answered);
   reader.collect(now);
   EXPECT_EQ(reader.events, 0U) << "the instance is not known yet";
-  reader.sightings.name(office(1));
+  reader.sightings.track(office(1));
   (void)reader.sightings.saw(now + 1ms, ServerId{1}, OfficeObservation::answered);
-  reader.sightings.name(office(1, 2000));
+  reader.sightings.track(office(1, 2000));
   reader.collect(now + 2ms);
   EXPECT_EQ(reader.events, 0U);
   (void)reader.sightings.saw(now + 3ms, ServerId{1}, OfficeObservation::silent);
@@ -153,10 +153,10 @@
 }
 
 // Two threads, as in production, and more offices than there are slots.
-TEST(Sightings, TheCoreCountsWhileTheLinkCollects) {
+TEST(OfficeObservations, TheCoreCountsWhileTheLinkCollects) {
   constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
   Reader reader;
-  for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.name(office(id));
+  for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.track(office(id));
   std::atomic<bool> finished{false};
   std::thread core([&] {
     for (std::uint32_t n = 0; n < 20 * kTwice; ++n)
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/turn_world.cpp
@@ -85,7 +85,7 @@
                                     self_of(nodes.size() - 1, 1).at};
   n.coordinator = std::make_unique<Coordinator>(settings_.coordinator, self, seeds,
                                                 settings_.seed * 7919 + i * 31 + n.lifetime);
-  n.sightings = std::make_unique<Sightings>(self.id);
+  n.sightings = std::make_unique<OfficeObservations>(self.id);
   CoordinatorActions actions;
   n.coordinator->begin(now_, recovery::read_stored_state(records, false), remembered, actions);
   carry_out(i, actions);
@@ -222,7 +222,7 @@
     } else if (const auto* apply = std::get_if<ApplyTerms>(&action)) {
       n.terms = apply->terms;
       if (n.urgent_open == Time::max() && !apply->terms.closed[1]) n.urgent_open = now_;
-      for (const recovery::Terms::Line& line : apply->terms.offices) n.sightings->name(line.office);
+      for (const recovery::Terms::Line& line : apply->terms.offices) n.sightings->track(line.office);
       if (on_terms) on_terms(i, apply->terms);
     }
   }
