--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -24,7 +24,8 @@
     for (;;) {
       const std::string_view held = buffer_.view();
       const std::size_t length = held.size() < 2 ? 0 : net::big_endian(held, 0, 2);
-      if (held.size() >= 2 && (length < kHeaderBytes || length > net::kMostMessage)) return Next::end;
+      if (held.size() >= 2 && (length < kHeaderBytes || length > net::kMaxInputMessageBytes))
+        return Next::end;
       if (held.size() < 2 || held.size() < 2 + length) return Next::more;
       const std::string answer = updates_.answer(held.substr(2, length));
       buffer_.take(2 + length);
--- a/src/dns/updates.h
+++ b/src/dns/updates.h
@@ -34,7 +34,7 @@
   base::Outage outage_;  // of the zone's file
   Zone zone_;
   std::map<ServerId, core::OfficeEntry> told_;
-  net::Door door_;
+  net::ConnectionListener door_;
 };
 
 }  // namespace reeltack::dns
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -103,7 +103,8 @@
   core::Core core(node.settings, node.seed);
   core::OfficeList list(core);
   platform::Offices offices(core, node.class_names, node.dial_limit);
-  ws::Front websocket(core, list, {node.class_names, fronts.websocket_origins, fronts.websocket_connections});
+  ws::Frontend websocket(core, list,
+                         {node.class_names, fronts.websocket_origins, fronts.websocket_connections});
   core::OfficeRouter sides(offices);
   sides.add(websocket, [&websocket](ServerId id) { return websocket.owns(id); });
   trunk::Trunks trunks;
@@ -116,7 +117,7 @@
       sides.add(*trunks.back(), [t = trunks.back().get()](ServerId id) { return t->owns(id); });
     }
   }
-  platform::SipFront sip(core, node.class_names, callers);
+  platform::SipFrontend sip(core, node.class_names, callers);
   std::optional<fleet::Service> fleet;
   if (prepared) fleet.emplace(core, list, std::move(*prepared), node);
   // Yes once clients are taken: the listener is open and the module holds a list (or has waited long enough).
--- a/src/mgmt/server.cpp
+++ b/src/mgmt/server.cpp
@@ -78,7 +78,7 @@
     }
     if ((polled[0].revents & POLLIN) == 0) continue;
     for (int taken = 0; taken < 16; ++taken) {  // a few a turn, so that a flood cannot starve the callers
-      net::Accepted next = net::accept_now(listener_);
+      net::Accepted next = net::try_accept(listener_);
       if (next.how == net::Accepted::How::shortage) room_by = now + kRoomAwaited;
       if (next.how == net::Accepted::How::lost) continue;
       if (!next.fd) break;
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -15,7 +15,7 @@
 
 namespace reeltack::net {
 
-inline constexpr std::size_t kMostMessage = std::size_t{16} * 1024;
+inline constexpr std::size_t kMaxInputMessageBytes = std::size_t{16} * 1024;
 
 enum class Got { data, closed, late };
 // What a connection has received and not yet taken: grows as needed, compacted in place.
@@ -25,7 +25,7 @@
   Got fill_now(const Fd& from);  // without waiting; late: nothing is there
   [[nodiscard]] std::string_view view() const { return {data_.data() + from_, to_ - from_}; }
   void take(std::size_t n);
-  [[nodiscard]] bool full() const { return to_ - from_ > kMostMessage; }
+  [[nodiscard]] bool full() const { return to_ - from_ > kMaxInputMessageBytes; }
 
  private:
   std::string data_;
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -18,9 +18,9 @@
 }  // namespace
 
 // The listener on its door's loop. Of the loop's thread but for `closing`.
-class Door::Listener final : public Watched {
+class ConnectionListener::Listener final : public EventHandler {
  public:
-  Listener(Door& door, Fd listening) : fd(std::move(listening)), door_(door) {}
+  Listener(ConnectionListener& door, Fd listening) : fd(std::move(listening)), door_(door) {}
   void turn(bool /*ready*/) override { door_.accept_some(*this); }
   Fd fd;
   Loop::Id id = 0;
@@ -29,13 +29,13 @@
   bool closed = false;  // with the door's lock
 
  private:
-  Door& door_;
+  ConnectionListener& door_;
 };
 
-Door::Door(std::size_t most, Make make, Joined joined)
+ConnectionListener::ConnectionListener(std::size_t most, Make make, Joined joined)
     : most_(most), make_(std::move(make)), joined_(std::move(joined)) {}
 
-void Door::open(const Address& at) {
+void ConnectionListener::open(const Address& at) {
   listener_ = std::make_shared<Listener>(*this, listen_on(at));
   loop_ = std::make_unique<Loop>();
   listener_->id = loop_->add(listener_);
@@ -47,24 +47,24 @@
     throw;
   }
 }
-void Door::yield(std::size_t most) {
+void ConnectionListener::yield(std::size_t most) {
   if (!listener_) return;
   if (!yield_port(listener_->fd)) log_line("the port can't be yielded: new connections still come here too");
   most_ = std::min(most, most_.load());
   loop_->wake(listener_->id);  // its turn makes room
 }
-void Door::stop_accepting() {
+void ConnectionListener::stop_accepting() {
   if (!listener_) return;
   listener_->closing = true;
   loop_->wake(listener_->id);
   std::unique_lock hold(lock_);
   changed_.wait(hold, [this] { return listener_->closed; });
 }
-void Door::close_idle(const Which& which) {
+void ConnectionListener::close_idle(const Which& which) {
   stop_accepting();
   close_peers(false, which);
 }
-void Door::close_idle_but_one() {
+void ConnectionListener::close_idle_but_one() {
   stop_accepting();
   const std::lock_guard hold(lock_);
   Peer* kept = nullptr;
@@ -75,27 +75,27 @@
     if (p != kept) p->close(false);
   }
 }
-void Door::close_now(const Which& which) {
+void ConnectionListener::close_now(const Which& which) {
   stop_accepting();
   close_peers(true, which);
 }
-void Door::close_by(Time over_by) {
+void ConnectionListener::close_by(Time over_by) {
   stop_accepting();
   const std::lock_guard hold(lock_);
   for (const auto& [key, p] : peers_) p->close_by(over_by);
 }
-void Door::close_peers(bool now, const Which& which) {
+void ConnectionListener::close_peers(bool now, const Which& which) {
   const std::lock_guard hold(lock_);
   for (const auto& [key, p] : peers_) {
     if (!which || which(*p)) p->close(now);
   }
 }
-bool Door::closed(const Which& which) {
+bool ConnectionListener::closed(const Which& which) {
   const std::lock_guard hold(lock_);
   return std::none_of(peers_.begin(), peers_.end(),
                       [&which](const auto& held) { return !which || which(*held.second); });
 }
-void Door::close_all() {
+void ConnectionListener::close_all() {
   if (!loop_) return;
   close_now();
   {
@@ -106,7 +106,7 @@
   listener_.reset();
 }
 
-void Door::accept_some(Listener& listener) {
+void ConnectionListener::accept_some(Listener& listener) {
   if (!listener.fd) return;
   const bool closing = listener.closing;
   const bool last = closing && ++listener.looks >= kMostLooksAtTheEnd;
@@ -120,7 +120,7 @@
       waits = true;
       break;
     }
-    Accepted next = accept_now(listener.fd);
+    Accepted next = try_accept(listener.fd);
     if (next.how == Accepted::How::up) admit(std::move(next.fd));
     lost = next.how == Accepted::How::lost ? lost + 1 : 0;
     waits = next.how == Accepted::How::shortage || lost >= kMostLost;  // would come back at once, in vain
@@ -141,7 +141,7 @@
   changed_.notify_all();
 }
 
-void Door::admit(Fd fd) {
+void ConnectionListener::admit(Fd fd) {
   const std::shared_ptr<Peer> peer = make_(std::move(fd));
   {
     const std::lock_guard hold(lock_);
@@ -152,7 +152,7 @@
   if (joined_) joined_(*peer);
 }
 
-void Door::left(Peer& peer) {
+void ConnectionListener::left(Peer& peer) {
   std::shared_ptr<Peer> gone;  // dies without the lock, if nobody else holds it
   const std::lock_guard hold(lock_);
   const auto found = peers_.find(&peer);
@@ -166,7 +166,7 @@
   changed_.notify_all();
 }
 
-bool Door::place() {
+bool ConnectionListener::place() {
   const std::lock_guard hold(lock_);
   if (peers_.size() > most_) make_room();
   return peers_.size() < most_ + kOverflow;
@@ -174,16 +174,16 @@
 
 // Those that never said a word go first, then those without a call, then those whose calls stand (the release
 // of these goes by another connection); of each kind the one that was quiet longest.
-void Door::make_room() {
+void ConnectionListener::make_room() {
   std::size_t excess = peers_.size() - most_;
-  std::vector<std::tuple<Peer::Spare, Time, Peer*>> spared;
+  std::vector<std::tuple<Peer::EvictionRank, Time, Peer*>> spared;
   for (const auto& [p, held] : peers_) {
     if (p->retiring()) {
       if (--excess == 0) return;
       continue;
     }
-    const Peer::Spare spare = p->spare();
-    if (spare != Peer::Spare::kept) spared.emplace_back(spare, p->heard(), p);
+    const Peer::EvictionRank spare = p->spare();
+    if (spare != Peer::EvictionRank::kept) spared.emplace_back(spare, p->heard(), p);
   }
   std::sort(spared.begin(), spared.end());
   for (const auto& [spare, heard, p] : spared) {
@@ -192,7 +192,7 @@
   }
 }
 
-bool Door::offer(const std::function<bool(Peer&)>& takes) {
+bool ConnectionListener::offer(const std::function<bool(Peer&)>& takes) {
   const std::lock_guard hold(lock_);
   std::vector<std::pair<Time, Peer*>> open;
   for (const auto& [p, held] : peers_) {
--- a/src/net/door.h
+++ b/src/net/door.h
@@ -15,14 +15,14 @@
 
 namespace reeltack::net {
 
-class Door {
+class ConnectionListener {
  public:
   using Make = std::function<std::shared_ptr<Peer>(Fd)>;
   using Joined = std::function<void(Peer&)>;
-  Door(std::size_t most, Make make, Joined joined = {});
-  ~Door() { close_all(); }
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  ConnectionListener(std::size_t most, Make make, Joined joined = {});
+  ~ConnectionListener() { close_all(); }
+  ConnectionListener(const ConnectionListener&) = delete;
+  ConnectionListener& operator=(const ConnectionListener&) = delete;
   void open(const Address& at);  // throws std::runtime_error; its thread begins
   // New connections go to a successor, if one listens beside, which shares our limits: no more than `most`
   // are held from now on, where they can be spared.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -45,12 +45,12 @@
   dues_.clear();
   std::unordered_map<Id, Entry> gone;  // what ends with it may call back
   gone.swap(entries_);
-  std::vector<std::pair<Id, std::shared_ptr<Watched>>> never_begun;
+  std::vector<std::pair<Id, std::shared_ptr<EventHandler>>> never_begun;
   const std::lock_guard hold(lock_);
   never_begun.swap(added_);
 }
 
-Loop::Id Loop::add(std::shared_ptr<Watched> watched) {
+Loop::Id Loop::add(std::shared_ptr<EventHandler> watched) {
   std::unique_lock hold(lock_);
   const Id id = ++last_;
   added_.emplace_back(id, std::move(watched));
@@ -80,7 +80,8 @@
   const auto found = entries_.find(id);
   if (found == entries_.end()) return;
   if (found->second.armed != dues_.end()) dues_.erase(found->second.armed);
-  const std::shared_ptr<Watched> gone = std::move(found->second.watched);  // dies after it is off the table
+  const std::shared_ptr<EventHandler> gone =
+      std::move(found->second.watched);  // dies after it is off the table
   entries_.erase(found);
 }
 
@@ -150,7 +151,7 @@
   const auto found = entries_.find(id);
   if (found == entries_.end()) return;
   found->second.pass = counts_.passes;
-  const std::shared_ptr<Watched> watched = found->second.watched;  // its turn may remove it
+  const std::shared_ptr<EventHandler> watched = found->second.watched;  // its turn may remove it
   watched->turn(ready);
 }
 
@@ -170,7 +171,7 @@
 
 void Loop::run() {
   epoll_event events[kBatch];
-  std::vector<std::pair<Id, std::shared_ptr<Watched>>> added;
+  std::vector<std::pair<Id, std::shared_ptr<EventHandler>>> added;
   std::vector<Id> woken;
   for (;;) {
     bool work = false;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -25,12 +25,12 @@
 
 // What a loop watches. A turn may come without a cause: a wake that crossed another turn, or a due time that
 // was moved to later after it had been set.
-class Watched {
+class EventHandler {
  public:
-  Watched() = default;
-  virtual ~Watched() = default;
-  Watched(const Watched&) = delete;
-  Watched& operator=(const Watched&) = delete;
+  EventHandler() = default;
+  virtual ~EventHandler() = default;
+  EventHandler(const EventHandler&) = delete;
+  EventHandler& operator=(const EventHandler&) = delete;
   // `ready`: one of its descriptors can be read or written, or has ended; else its time has come or it was
   // woken.
   virtual void turn(bool ready) = 0;
@@ -48,8 +48,8 @@
   // turn.
   void stop();
 
-  Id add(std::shared_ptr<Watched> watched);  // kept until remove() or stop(); woken once
-  void wake(Id id);                          // a turn soon
+  Id add(std::shared_ptr<EventHandler> watched);  // kept until remove() or stop(); woken once
+  void wake(Id id);                               // a turn soon
 
   void remove(Id id);  // its descriptors must be unwatched first
   // Level-triggered. An ended descriptor shows whatever is asked for; one not asked about at all is
@@ -71,7 +71,7 @@
  private:
   using Dues = std::multimap<Time, Id>;
   struct Entry {
-    std::shared_ptr<Watched> watched;
+    std::shared_ptr<EventHandler> watched;
     Time due = kNever;
     Dues::iterator armed;    // the earliest time set since its last look, or the end
     std::uint64_t pass = 0;  // of its last turn
@@ -95,7 +95,7 @@
 
   std::mutex lock_;  // guards what other threads bring
   Id last_ = 0;
-  std::vector<std::pair<Id, std::shared_ptr<Watched>>> added_;
+  std::vector<std::pair<Id, std::shared_ptr<EventHandler>>> added_;
   std::vector<Id> woken_;
   bool asleep_ = true;  // in its wait or not begun, and the bell is not rung
   bool stopping_ = false;
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -93,7 +93,7 @@
   return fd_ < 0 || (sys::poll(&p, 1, 0) > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0);
 }
 
-Fd dial_begin(const Address& to, Dial& how) {
+Fd begin_dial(const Address& to, Dial& how) {
   how = Dial::failed;
   const auto target = resolve(to);
   if (!target) return {};
@@ -124,7 +124,7 @@
 }
 Dialled dial(const Address& to, Time deadline) {
   Dialled out;
-  out.fd = dial_begin(to, out.how);
+  out.fd = begin_dial(to, out.how);
   if (out.how == Dial::pending)
     out.how = wait_for(out.fd.get(), POLLOUT, deadline) ? dial_state(out.fd) : Dial::failed;
   if (out.how != Dial::up) return {Fd{}, out.how};
@@ -159,7 +159,7 @@
   return sys::setsockopt(listener.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) == 0;
 }
 
-Accepted accept_now(const Fd& listener) {
+Accepted try_accept(const Fd& listener) {
   using How = Accepted::How;
   Fd fd(sys::accept4(listener.get(), SOCK_CLOEXEC));
   if (fd) {
@@ -190,7 +190,7 @@
 Fd accept_one(const Fd& listener, Time deadline) {
   for (;;) {
     if (!wait_for(listener.get(), POLLIN, deadline)) return Fd{};
-    Accepted next = accept_now(listener);
+    Accepted next = try_accept(listener);
     if (next.how == Accepted::How::up) return std::move(next.fd);
     if (now() >= deadline) return Fd{};
     if (next.how == Accepted::How::shortage) std::this_thread::sleep_for(kRoomAwaited);
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -62,12 +62,12 @@
   How how = How::none;
   Fd fd{};
 };
-Accepted accept_now(const Fd& listener);
+Accepted try_accept(const Fd& listener);
 Fd accept_one(const Fd& listener, Time deadline);  // none: none came in time, or there was no room for it
 // poll(2), which a failure does not turn into a busy loop: nothing is ready then.
 void poll_some(pollfd* polled, std::size_t count, int milliseconds);
 // A connection that is coming up: begun without waiting, then asked how it stands.
-Fd dial_begin(const Address& to, Dial& how);  // Dial::pending: it can be written once it is up or has failed
+Fd begin_dial(const Address& to, Dial& how);  // Dial::pending: it can be written once it is up or has failed
 Dial dial_state(const Fd& fd);
 
 }  // namespace reeltack::net
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -157,22 +157,22 @@
   unwritten_.erase(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
-Peer::Spare Peer::spare() const {
+Peer::EvictionRank Peer::spare() const {
   const std::lock_guard hold(lock_);
   return spare_now();
 }
 // Kept is all that has a set-up open, has said what is not yet read or taken, or has not been written its
 // answer: where the processor is short, the loop may come to these late.
-Peer::Spare Peer::spare_now() const {
+Peer::EvictionRank Peer::spare_now() const {
   if (over_ || retiring_ || answering_ || closing_ != Closing::no || patience_.begun() || !open_.empty() ||
       outbox_.behind() || fd_.unread())
-    return Spare::kept;
-  if (!patience_.served()) return heard() + kShy < now() ? Spare::silent : Spare::kept;
-  return standing_.empty() ? Spare::idle : Spare::standing;
+    return EvictionRank::kept;
+  if (!patience_.served()) return heard() + kShy < now() ? EvictionRank::silent : EvictionRank::kept;
+  return standing_.empty() ? EvictionRank::idle : EvictionRank::standing;
 }
 void Peer::retire() {
   const std::lock_guard hold(lock_);
-  if (spare_now() == Spare::kept) return;
+  if (spare_now() == EvictionRank::kept) return;
   retiring_ = true;
   fd_.shut();
 }
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -23,7 +23,7 @@
 
 // One accepted connection on its door's loop. Fronts derive from it. What the front overrides runs on the
 // loop's thread; what others call (push, cut, opened, stood, closed) may come from any.
-class Peer : public Watched, public std::enable_shared_from_this<Peer> {
+class Peer : public EventHandler, public std::enable_shared_from_this<Peer> {
  public:
   // `quiet`: after such a silence quiet() asks; max: it may stay quiet.
   explicit Peer(Fd fd, Duration quiet = Duration::max());
@@ -48,8 +48,8 @@
   [[nodiscard]] End why() const { return why_; }  // once it is over
 
   // How well it can be spared, the least first; kKept: not at all now.
-  enum class Spare { silent, idle, standing, kept };
-  [[nodiscard]] Spare spare() const;
+  enum class EvictionRank { silent, idle, standing, kept };
+  [[nodiscard]] EvictionRank spare() const;
   [[nodiscard]] Time heard() const { return Time{Duration{heard_.load()}}; }
   // Ends it for room, at once: what crosses the end is sent again by its caller. Only if it still can be
   // spared.
@@ -116,8 +116,8 @@
   void arm();
   void keep_to_limits();
   void stop_reading();
-  [[nodiscard]] End broken() const;       // why, where it could not be read or written
-  [[nodiscard]] Spare spare_now() const;  // with the lock held
+  [[nodiscard]] End broken() const;              // why, where it could not be read or written
+  [[nodiscard]] EvictionRank spare_now() const;  // with the lock held
 
   Fd fd_;
   Outbox outbox_;
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -36,7 +36,7 @@
   used = 0;
   if (text.size() < 4) return std::nullopt;
   const std::uint64_t length = net::big_endian(text, 0, 4);
-  if (length < 9 || length > net::kMostMessage)
+  if (length < 9 || length > net::kMaxInputMessageBytes)
     throw std::runtime_error("a frame of " + std::to_string(length) + " bytes");
   if (text.size() < 4 + length) return std::nullopt;
   Frame out;
@@ -110,7 +110,7 @@
 std::shared_ptr<Bulletin::Connection> Bulletin::connect(const net::Address& to) {
   net::Dial how = net::Dial::failed;
   auto fresh = std::make_shared<Connection>();
-  fresh->fd = net::dial_begin(to, how);
+  fresh->fd = net::begin_dial(to, how);
   const Time by = net::now() + pacing_.connect_timeout();
   for (Duration look = kFirstLook; how == net::Dial::pending; look = std::min(2 * look, kLook)) {
     {
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -26,7 +26,7 @@
 
 namespace reeltack::platform {
 
-class OfficeLink final : public net::Watched, public std::enable_shared_from_this<OfficeLink> {
+class OfficeLink final : public net::EventHandler, public std::enable_shared_from_this<OfficeLink> {
  public:
   OfficeLink(core::Core& core, net::Loop& loop, ServerId id, Duration dial_limit)
       : core_(core), loop_(loop), id_(id), dial_limit_(dial_limit) {}
--- a/src/platform/link_dial.cpp
+++ b/src/platform/link_dial.cpp
@@ -20,7 +20,7 @@
   if (reach_.gone()) return failed(net::Dial::failed);  // another process may have the address now
   net::Dial how = net::Dial::failed;
   dialled_ = address_;
-  dialling_ = net::dial_begin(address_, how);
+  dialling_ = net::begin_dial(address_, how);
   const Time at = net::now();
   dial_by_ = reach_.dial_deadline(at, dial_limit_);
   if (how == net::Dial::shortage) return no_room();
@@ -127,7 +127,7 @@
     if (how == net::Dial::pending && at >= dial_by_) how = net::Dial::failed;
   } else if (at >= second_dial_at()) {
     collecting_ = at < ask_at();
-    asking_ = net::dial_begin(address_, how);
+    asking_ = net::begin_dial(address_, how);
     if (how == net::Dial::shortage) {  // no evidence of its silence
       room_at_ = at + kRoomAwaited;
       reach_.no_room(at);
--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -39,7 +39,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-SipFront::SipFront(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections)
+SipFrontend::SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections)
     : core_(core),
       class_names_(std::move(class_names)),
       door_(
@@ -47,7 +47,7 @@
           [this](net::Fd fd) { return std::make_shared<SipConnection>(*this, std::move(fd)); },
           [this](net::Peer& connection) { joined(connection); }) {}
 
-bool SipFront::take(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
+bool SipFrontend::take(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
   if (message.method.empty()) return heard(*from, message), true;
   if (message.method == "ACK") return true;  // nothing to do
   if (message.method == "OPTIONS") {
@@ -73,8 +73,8 @@
   return true;
 }
 
-void SipFront::take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
-                           CallId call) {
+void SipFrontend::take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
+                              CallId call) {
   core::Request request;
   CallArrived& told = request.told;
   told.call = call;
@@ -111,8 +111,8 @@
   if (open_dialogue(from, message, call)) core_.request(std::move(request));
 }
 
-bool SipFront::open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
-                             CallId call) {
+bool SipFrontend::open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
+                                CallId call) {
   const std::string& subject = *message.header("Subject");
   const std::lock_guard hold(lock_);
   const auto [place, fresh] = dialogues_.try_emplace(call);
@@ -125,29 +125,29 @@
     // Another set-up under the id of an open call: it must get neither that call's answer nor its place.
     from->push(sip_answer(482, "Loop Detected", message.echoed()));
     return false;
-  } else if (std::any_of(d.askers.begin(), d.askers.end(),
-                         [&from](const Asker& a) { return a.connection.lock() == from; })) {
+  } else if (std::any_of(d.requesters.begin(), d.requesters.end(),
+                         [&from](const Requester& a) { return a.connection.lock() == from; })) {
     return false;
   }
   // The same set-up once more crossed a close of ours, or is hedged: its one answer is owed here now.
-  d.askers.push_back({from, message.echoed()});
+  d.requesters.push_back({from, message.echoed()});
   from->opened(call);
   return fresh;
 }
 
 // The call is given up with the last connection on which its set-up came.
-void SipFront::asker_left(SipConnection& from, CallId call) {
+void SipFrontend::requester_left(SipConnection& from, CallId call) {
   {
     const std::lock_guard hold(lock_);
     const auto found = dialogues_.find(call);
     if (found == dialogues_.end()) return;
-    std::vector<Asker>& askers = found->second.askers;
-    const bool others = std::any_of(askers.begin(), askers.end(), [&from](const Asker& a) {
+    std::vector<Requester>& requesters = found->second.requesters;
+    const bool others = std::any_of(requesters.begin(), requesters.end(), [&from](const Requester& a) {
       const auto connection = a.connection.lock();
       return connection && connection.get() != &from && connection->reachable();
     });
     if (others) {
-      std::erase_if(askers, [&from](const Asker& a) { return a.connection.lock().get() == &from; });
+      std::erase_if(requesters, [&from](const Requester& a) { return a.connection.lock().get() == &from; });
       from.closed(call);
       return;
     }
@@ -155,20 +155,20 @@
   core_.give_up(call, *this);
 }
 
-bool SipFront::waits(CallId call) {
+bool SipFrontend::waits(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   return found != dialogues_.end() && last_reachable(found->second) != nullptr;
 }
 
-bool SipFront::stands(CallId call, const std::string& description) {
+bool SipFrontend::stands(CallId call, const std::string& description) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return false;
   Dialogue& d = found->second;
   // A caller that has closed, noticed or not, has given the call up: it would never end what stands.
-  const Asker* reachable = last_reachable(d);
-  const Asker asker = reachable == nullptr ? d.askers.back() : *reachable;
+  const Requester* reachable = last_reachable(d);
+  const Requester asker = reachable == nullptr ? d.requesters.back() : *reachable;
   const auto connection = asker.connection.lock();
   const bool told = reachable != nullptr && connection &&
                     connection->push(sip_answer(200, "OK", asker.echoed, "", description));
@@ -181,11 +181,11 @@
   }
   d.answered = true;
   d.description = {};
-  d.askers = {asker};
+  d.requesters = {asker};
   return true;
 }
 
-void SipFront::refused(CallId call, core::Why why, Duration later) {
+void SipFrontend::refused(CallId call, core::Why why, Duration later) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
@@ -193,8 +193,8 @@
   dialogues_.erase(found);
   // With more than one, the last that can be reached; a far end that closed its own way only reads it as
   // well.
-  const Asker* reachable = d.askers.size() > 1 ? last_reachable(d) : nullptr;
-  const Asker& asker = reachable == nullptr ? d.askers.back() : *reachable;
+  const Requester* reachable = d.requesters.size() > 1 ? last_reachable(d) : nullptr;
+  const Requester& asker = reachable == nullptr ? d.requesters.back() : *reachable;
   const auto connection = asker.connection.lock();
   if (!connection) return;
   std::string advice;
@@ -212,7 +212,7 @@
   close_askers(d, call);  // only now: a connection without an open set-up may end at any time
 }
 
-void SipFront::over(CallId call) {
+void SipFrontend::over(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
@@ -220,17 +220,18 @@
   dialogues_.erase(found);
 }
 
-const SipFront::Asker* SipFront::last_reachable(const Dialogue& dialogue) {
-  const auto found = std::find_if(dialogue.askers.rbegin(), dialogue.askers.rend(), [](const Asker& a) {
-    const auto connection = a.connection.lock();
-    return connection && connection->reachable();
-  });
-  return found == dialogue.askers.rend() ? nullptr : &*found;
+const SipFrontend::Requester* SipFrontend::last_reachable(const Dialogue& dialogue) {
+  const auto found =
+      std::find_if(dialogue.requesters.rbegin(), dialogue.requesters.rend(), [](const Requester& a) {
+        const auto connection = a.connection.lock();
+        return connection && connection->reachable();
+      });
+  return found == dialogue.requesters.rend() ? nullptr : &*found;
 }
 
-void SipFront::close_askers(const Dialogue& dialogue, CallId call,
-                            const std::shared_ptr<SipConnection>& except) {
-  for (const Asker& asker : dialogue.askers) {
+void SipFrontend::close_askers(const Dialogue& dialogue, CallId call,
+                               const std::shared_ptr<SipConnection>& except) {
+  for (const Requester& asker : dialogue.requesters) {
     const auto connection = asker.connection.lock();
     if (connection && connection != except) connection->closed(call);
   }
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -16,9 +16,9 @@
 
 class SipConnection;
 
-class SipFront final : public core::CallerFrontend {
+class SipFrontend final : public core::CallerFrontend {
  public:
-  SipFront(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections);
+  SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections);
   void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
   void yield(std::size_t most) { door_.yield(most); }    // to a successor, if one listens beside this program
   // The end: each connection once no set-up is open on it, but for one, by which releases go that come yet;
@@ -27,7 +27,7 @@
   void close_idle() { door_.close_idle(); }
   void close_by(Time over_by) { door_.close_by(over_by); }
   [[nodiscard]] bool closed() { return door_.closed(); }
-  [[nodiscard]] const net::Door::Counts& connections() const { return door_.counts(); }
+  [[nodiscard]] const net::ConnectionListener::Counts& connections() const { return door_.counts(); }
   void close_all() { door_.close_all(); }  // waits until every connection has ended
 
   bool stands(CallId call, const std::string& description) override;
@@ -39,13 +39,13 @@
  private:
   friend class SipConnection;
   // A connection on which a set-up came, and the headers of it that its answer repeats.
-  struct Asker {
+  struct Requester {
     std::weak_ptr<SipConnection> connection;
     std::string echoed;
   };
   struct Dialogue {
     // One at the least; more where the set-up came again. The last that can be reached gets the one answer.
-    std::vector<Asker> askers;
+    std::vector<Requester> requesters;
     std::string uri;
     std::string subject;
     std::string description;  // until the answer: a repeat must carry the same
@@ -63,8 +63,8 @@
   void take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message, CallId call);
   // False: the same set-up is open here already, or this answers the one that came.
   bool open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message, CallId call);
-  void asker_left(SipConnection& from, CallId call);
-  static const Asker* last_reachable(const Dialogue& dialogue);  // or none
+  void requester_left(SipConnection& from, CallId call);
+  static const Requester* last_reachable(const Dialogue& dialogue);  // or none
   static void close_askers(const Dialogue& dialogue, CallId call,
                            const std::shared_ptr<SipConnection>& except = nullptr);
 
@@ -73,7 +73,7 @@
   std::mutex lock_;  // guards the tables below
   std::unordered_map<CallId, Dialogue> dialogues_;
   std::vector<std::pair<CallId, std::string>> owed_;  // releases for the next connection
-  net::Door door_;                                    // last: its connections end before what they use
+  net::ConnectionListener door_;                      // last: its connections end before what they use
 };
 
 }  // namespace reeltack::platform
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -24,7 +24,7 @@
 // A caller's connection.
 class SipConnection final : public net::Peer {
  public:
-  SipConnection(SipFront& front, net::Fd fd) : net::Peer(std::move(fd)), front_(front) {}
+  SipConnection(SipFrontend& front, net::Fd fd) : net::Peer(std::move(fd)), front_(front) {}
 
  protected:
   Next received() override {
@@ -62,7 +62,7 @@
     hang_up();
   }
   void left(const std::set<CallId>& open) override {
-    for (const CallId call : open) front_.asker_left(*this, call);
+    for (const CallId call : open) front_.requester_left(*this, call);
     front_.unheard(*this);
   }
   void unanswered(const std::set<CallId>& standing) override {
@@ -71,8 +71,8 @@
   [[nodiscard]] bool answers_open() const override { return true; }
 
  private:
-  friend class SipFront;
-  SipFront& front_;
+  friend class SipFrontend;
+  SipFrontend& front_;
   membership::Releases releases_{kReleases};  // that went here; with the front's lock
 };
 
--- a/src/platform/sip_message.cpp
+++ b/src/platform/sip_message.cpp
@@ -69,7 +69,7 @@
   if (start > 0 && start == text.size()) return used = start, Parsed::more;
   const std::size_t end = text.find("\r\n\r\n", start);
   if (end == std::string_view::npos)
-    return text.size() - start > net::kMostMessage ? Parsed::malformed : Parsed::more;
+    return text.size() - start > net::kMaxInputMessageBytes ? Parsed::malformed : Parsed::more;
   std::string_view head = text.substr(start, end - start);
   std::size_t length = 0;
   bool first = true;
@@ -89,7 +89,7 @@
     const std::string_view value = trimmed(line.substr(colon + 1));
     if (same_name(name, "Content-Length") || same_name(name, "l")) {
       const auto n = whole_number(value);
-      if (!n || *n < 0 || *n > static_cast<std::int64_t>(net::kMostMessage) ||
+      if (!n || *n < 0 || *n > static_cast<std::int64_t>(net::kMaxInputMessageBytes) ||
           (has_length && static_cast<std::size_t>(*n) != length))
         return Parsed::malformed;
       length = static_cast<std::size_t>(*n);
@@ -98,7 +98,7 @@
     out.headers.emplace_back(name, value);
   }
   // Over a stream nothing else tells where the message ends.
-  if (!has_length || end + 4 + length - start > net::kMostMessage) return Parsed::malformed;
+  if (!has_length || end + 4 + length - start > net::kMaxInputMessageBytes) return Parsed::malformed;
   if (text.size() < end + 4 + length) return Parsed::more;
   out.body = text.substr(end + 4, length);
   used = end + 4 + length;
--- a/src/platform/sip_releases.cpp
+++ b/src/platform/sip_releases.cpp
@@ -5,7 +5,7 @@
 
 namespace reeltack::platform {
 
-void SipFront::joined(net::Peer& connection) {
+void SipFrontend::joined(net::Peer& connection) {
   const std::lock_guard hold(lock_);
   auto& to = static_cast<SipConnection&>(connection);
   // One that has left before it was let in would take them with it.
@@ -13,7 +13,7 @@
       owed_, [&](const auto& release) { return tell_over(to, release.first, release.second, Takes::later); });
 }
 
-bool SipFront::tell_over(SipConnection& to, CallId call, const std::string& line, Takes how) {
+bool SipFrontend::tell_over(SipConnection& to, CallId call, const std::string& line, Takes how) {
   if (!to.listens() || (how == Takes::at_once && to.behind()) || !to.push(line)) return false;
   to.releases_.sent(call, line, net::now());
   return true;
@@ -21,8 +21,8 @@
 
 // A caller's connection that does not read would hold it for seconds, and then be cut off: any other one
 // comes first, though not `except`.
-bool SipFront::tell_any(SipConnection* own, const SipConnection* except, CallId call,
-                        const std::string& line) {
+bool SipFrontend::tell_any(SipConnection* own, const SipConnection* except, CallId call,
+                           const std::string& line) {
   for (const Takes how : {Takes::at_once, Takes::later}) {
     if (own != nullptr && tell_over(*own, call, line, how)) return true;
     const bool taken = door_.offer([&](net::Peer& to) {
@@ -34,7 +34,7 @@
 }
 
 // A release that crossed its caller's close is lost with the connection, and nothing else tells of it.
-void SipFront::unheard(SipConnection& from) {
+void SipFrontend::unheard(SipConnection& from) {
   const std::lock_guard hold(lock_);
   const bool unread = from.why() == net::Peer::End::unread || from.why() == net::Peer::End::cut;
   auto again = unread ? from.releases_.unread() : from.releases_.ended(net::now());
@@ -45,7 +45,7 @@
 }
 
 // The answer to a release, which a caller may leave out.
-void SipFront::heard(SipConnection& from, const SipMessage& message) {
+void SipFrontend::heard(SipConnection& from, const SipMessage& message) {
   const std::string* id = message.header("Call-ID");
   const auto call = id == nullptr ? std::nullopt : net::parse_hex16(*id);
   if (!call) return;
@@ -54,14 +54,14 @@
 }
 
 // Our side is closed, so that its caller hears nothing more here; what it ends, ends all the same.
-void SipFront::take_after_close(SipConnection& from, const SipMessage& message) {
+void SipFrontend::take_after_close(SipConnection& from, const SipMessage& message) {
   if (message.method.empty()) return heard(from, message);
   const std::string* id = message.header("Call-ID");
   const auto call = id == nullptr ? std::nullopt : net::parse_hex16(*id);
   if (call && message.method == "BYE") core_.release(CallId{*call}, *this);
 }
 
-void SipFront::released(CallId call, int cause) {
+void SipFrontend::released(CallId call, int cause) {
   const std::lock_guard hold(lock_);
   Dialogue d;  // of a call from before our start nothing is known but its id
   d.uri = "sip:" + net::hex16(static_cast<std::uint64_t>(call)) + "@net";
@@ -73,7 +73,7 @@
   std::string bye = "BYE " + d.uri + " SIP/2.0\r\nVia: SIP/2.0/TCP controller\r\nCall-ID: " + id +
                     "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=" + std::to_string(cause) +
                     "\r\nContent-Length: 0\r\n\r\n";
-  const auto own = d.askers.empty() ? nullptr : d.askers.back().connection.lock();
+  const auto own = d.requesters.empty() ? nullptr : d.requesters.back().connection.lock();
   // No connection owns a standing call: any open one will do, or else the next.
   const bool told = tell_any(own.get(), nullptr, call, bye);
   if (own) own->closed(call);
--- a/src/shutdown/shutdown.cpp
+++ b/src/shutdown/shutdown.cpp
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
-               ws::Front* websocket, const limits::ShutdownTimes& times) {
+void shut_down(core::Core& core, platform::Offices& offices, platform::SipFrontend& callers,
+               ws::Frontend* websocket, const limits::ShutdownTimes& times) {
   limits::ShutdownSequence order(times);
   for (bool done = false; !done; net::pause_until(net::now() + (done ? 0ms : kStep))) {
     const bool clients_closed = websocket == nullptr || websocket->clients_closed();
--- a/src/shutdown/shutdown.h
+++ b/src/shutdown/shutdown.h
@@ -13,7 +13,7 @@
 
 // Returns once every caller's connection has ended and no call is open; in time for `times`. `websocket`:
 // null where there is no such front; its clients are closed with the callers, its endpoints are left open.
-void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
-               ws::Front* websocket, const limits::ShutdownTimes& times);
+void shut_down(core::Core& core, platform::Offices& offices, platform::SipFrontend& callers,
+               ws::Frontend* websocket, const limits::ShutdownTimes& times);
 
 }  // namespace reeltack
--- a/src/ws/clients.cpp
+++ b/src/ws/clients.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void Front::from_client(const ConnectionPtr& from, const Json& message) {
+void Frontend::from_client(const ConnectionPtr& from, const Json& message) {
   const std::string type = text_field(message, "type");
   const std::string id = text_field(message, "call");
   const auto call = net::parse_hex16(id);
@@ -32,7 +32,7 @@
   from->send(error_message("unknown-type", id));
 }
 
-void Front::set_up(const ConnectionPtr& from, const Json& message, CallId call) {
+void Frontend::set_up(const ConnectionPtr& from, const Json& message, CallId call) {
   core::Request request;
   CallArrived& told = request.told;
   told.call = call;
@@ -73,7 +73,7 @@
 }
 
 // Answers how the call stands; from now on this connection hears of it.
-void Front::status(const ConnectionPtr& from, CallId call) {
+void Frontend::status(const ConnectionPtr& from, CallId call) {
   core_.ask(call, [this, call, weak = std::weak_ptr(from)](const core::Status& s) {
     const ConnectionPtr connection = weak.lock();
     if (!connection) return;
@@ -97,7 +97,7 @@
 }
 
 // The one place that tells a client of a call; the last message ends the listening.
-void Front::send_about(CallId call, std::string_view fields, bool last) {
+void Frontend::send_about(CallId call, std::string_view fields, bool last) {
   const std::lock_guard hold(lock_);
   const auto found = listening_.find(call);
   if (found == listening_.end()) return;
@@ -108,12 +108,12 @@
   connection->closed(call);  // only now: a connection without an open set-up may end at any time
 }
 
-bool Front::stands(CallId call, const std::string& description) {
+bool Frontend::stands(CallId call, const std::string& description) {
   send_about(call, R"("type":"answer","result":"stands","description":)" + quoted(description), false);
   return true;  // a call outlives its connection: the client can ask for it and release it on another
 }
 
-void Front::refused(CallId call, Why why, Duration later) {
+void Frontend::refused(CallId call, Why why, Duration later) {
   if (why == Why::duplicate) return send_about(call, R"("type":"error","reason":"duplicate-id")", true);
   std::string fields = std::string(R"("type":"answer","result":")") + result_text(why) + R"(","reason":")" +
                        name_text(why) + "\"";
@@ -122,11 +122,11 @@
   send_about(call, fields, true);
 }
 
-void Front::released(CallId call, int cause) {
+void Frontend::released(CallId call, int cause) {
   send_about(call, R"("type":"released","cause":)" + std::to_string(cause), true);
 }
 
-void Front::over(CallId call) {
+void Frontend::over(CallId call) {
   const std::lock_guard hold(lock_);
   listening_.erase(call);
 }
--- a/src/ws/connection.cpp
+++ b/src/ws/connection.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Connection::Connection(Front& front, net::Fd fd) : net::Peer(std::move(fd), kSilence), front_(front) {}
+Connection::Connection(Frontend& front, net::Fd fd) : net::Peer(std::move(fd), kSilence), front_(front) {}
 
 bool Connection::send(const std::string& json, net::Outbox::Check check) {
   const std::lock_guard hold(sending_);
--- a/src/ws/connection.h
+++ b/src/ws/connection.h
@@ -13,7 +13,7 @@
 
 class Connection final : public net::Peer {
  public:
-  Connection(Front& front, net::Fd fd);
+  Connection(Frontend& front, net::Fd fd);
   // False: it is not sent; nothing follows a close frame (RFC 6455, 5.5.1).
   bool send(const std::string& json, net::Outbox::Check check = {});
   void send_close(int code, const std::string& reason = "");
@@ -31,7 +31,7 @@
   bool take(const std::shared_ptr<Connection>& self, const Message& message);
   bool take_text(const std::shared_ptr<Connection>& self, const std::string& text);
 
-  Front& front_;
+  Frontend& front_;
   std::string path_;  // empty until the handshake
   Assembler assembler_;
   bool asked_ = false;  // by a ping
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void Front::from_endpoint(const ConnectionPtr& from, const Json& message) {
+void Frontend::from_endpoint(const ConnectionPtr& from, const Json& message) {
   const std::string type = text_field(message, "type");
   if (type == "register") return register_endpoint(from, message);
   std::optional<ServerId> id;
@@ -35,7 +35,7 @@
   about_call(from, *id, message);
 }
 
-void Front::change_state(const ConnectionPtr& from, ServerId id, ServerState state) {
+void Frontend::change_state(const ConnectionPtr& from, ServerId id, ServerState state) {
   core::OfficeEntry entry;
   {
     const std::lock_guard hold(lock_);
@@ -47,7 +47,7 @@
   from->send(state == ServerState::draining ? R"({"type":"draining"})" : R"({"type":"left"})");
 }
 
-void Front::about_call(const ConnectionPtr& from, ServerId id, const Json& message) {
+void Frontend::about_call(const ConnectionPtr& from, ServerId id, const Json& message) {
   const std::string type = text_field(message, "type");
   const std::string call_text = text_field(message, "call");
   const auto number = net::parse_hex16(call_text);
@@ -69,7 +69,7 @@
 }
 
 // The first byte counts for drains, so all is checked again as the set-up leaves the queue.
-bool Front::may_leave(const core::SetUp& set_up, std::int64_t told_ms, std::string& message) {
+bool Frontend::may_leave(const core::SetUp& set_up, std::int64_t told_ms, std::string& message) {
   {
     const std::lock_guard hold(lock_);
     Endpoint& endpoint = endpoints_[set_up.office];
@@ -91,7 +91,7 @@
   return false;
 }
 
-std::string Front::set_up_message(const core::SetUp& set_up, std::int64_t left_ms) const {
+std::string Frontend::set_up_message(const core::SetUp& set_up, std::int64_t left_ms) const {
   const auto& names = setup_.class_names;
   return R"({"type":"set-up","call":")" + id_text(set_up.call) + R"(","class":)" +
          quoted(set_up.call_class < names.size() ? names[set_up.call_class] : "") + R"(,"number":")" +
@@ -99,7 +99,7 @@
          ",\"description\":" + quoted(set_up.description) + "}";
 }
 
-void Front::start(const core::SetUp& set_up) {
+void Frontend::start(const core::SetUp& set_up) {
   const std::int64_t left_ms = whole_ms_left(set_up.give_up);
   const std::string message = set_up_message(set_up, left_ms);
   const std::lock_guard hold(lock_);
@@ -114,7 +114,7 @@
   core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::connect_failed);
 }
 
-void Front::give_up(ServerId office, CallId call, std::uint32_t /*attempt*/) {
+void Frontend::give_up(ServerId office, CallId call, std::uint32_t /*attempt*/) {
   const std::lock_guard hold(lock_);
   Endpoint& endpoint = endpoints_[office];
   const auto found = endpoint.attempts.find(call);
@@ -130,13 +130,13 @@
   connection->send(R"({"type":"give-up","call":")" + id_text(call) + "\"}");
 }
 
-void Front::release(ServerId office, CallId call) {
+void Frontend::release(ServerId office, CallId call) {
   const std::lock_guard hold(lock_);
   send_release(endpoints_[office], call, release_message(call));
 }
 
 // On the connection, or owed to the next; it is kept until the endpoint must have read it.
-void Front::send_release(Endpoint& endpoint, CallId call, std::string message) {
+void Frontend::send_release(Endpoint& endpoint, CallId call, std::string message) {
   const ConnectionPtr connection = endpoint.connection.lock();
   if (!connection || !connection->listens() || !connection->send(message)) {
     endpoint.owed.emplace_back(call, std::move(message));
--- a/src/ws/frames.cpp
+++ b/src/ws/frames.cpp
@@ -168,7 +168,7 @@
     }
     if (opcode == 2) return breach(kNotUnderstood);
     if (!control && (opcode == 0) != in_parts_) return breach(kProtocolError);
-    if (!control && parts_.size() + length > net::kMostMessage) return breach(kTooBig);
+    if (!control && parts_.size() + length > net::kMaxInputMessageBytes) return breach(kTooBig);
     if (rest.size() < at + masking + length) return std::nullopt;
     const std::string_view mask = rest.substr(at, masking);
     std::string payload(rest.substr(at + masking, length));
--- a/src/ws/front.cpp
+++ b/src/ws/front.cpp
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-Front::Front(core::Core& core, core::OfficeList& list, Setup setup)
+Frontend::Frontend(core::Core& core, core::OfficeList& list, Setup setup)
     : core_(core), list_(list), setup_(std::move(setup)), door_(setup_.connections, [this](net::Fd fd) {
         return std::make_shared<Connection>(*this, std::move(fd));
       }) {}
 
-void Front::close_clients() { door_.close_idle(is_client); }
-void Front::close_clients_now() { door_.close_now(is_client); }
-bool Front::clients_closed() { return door_.closed(is_client); }
+void Frontend::close_clients() { door_.close_idle(is_client); }
+void Frontend::close_clients_now() { door_.close_now(is_client); }
+bool Frontend::clients_closed() { return door_.closed(is_client); }
 
 }  // namespace reeltack::ws
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -18,14 +18,14 @@
 
 class Connection;
 
-class Front final : public core::CallerFrontend, public core::OfficeBackend {
+class Frontend final : public core::CallerFrontend, public core::OfficeBackend {
  public:
   struct Setup {
     std::vector<std::string> class_names;
     std::vector<std::string> origins;
     std::size_t connections = 128;
   };
-  Front(core::Core& core, core::OfficeList& list, Setup setup);
+  Frontend(core::Core& core, core::OfficeList& list, Setup setup);
   void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
   void yield(std::size_t most) { door_.yield(most); }    // to a successor, if one listens beside this program
   // The end: clients' connections once no set-up is open on them, then those in the middle of a message as
@@ -89,7 +89,7 @@
   std::mutex lock_;
   std::unordered_map<CallId, std::weak_ptr<Connection>> listening_;  // who hears of the call
   std::map<ServerId, Endpoint> endpoints_;
-  net::Door door_;  // last: its connections end before what they use
+  net::ConnectionListener door_;  // last: its connections end before what they use
 };
 
 }  // namespace reeltack::ws
--- a/src/ws/registrations.cpp
+++ b/src/ws/registrations.cpp
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-bool Front::owns(ServerId office) {
+bool Frontend::owns(ServerId office) {
   const std::lock_guard hold(lock_);
   return endpoints_.contains(office);
 }
 
-void Front::register_endpoint(const ConnectionPtr& from, const Json& message) {
+void Frontend::register_endpoint(const ConnectionPtr& from, const Json& message) {
   const std::string name = text_field(message, "centrale");
   const auto id = net::parse_office_name(name);
   const double place = number_field(message, "place").value_or(0.0);
@@ -48,7 +48,7 @@
   list_.told(core::Source::registered, false, {entry});
 }
 
-bool Front::bind(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry) {
+bool Frontend::bind(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry) {
   const ServerId id = entry.entry.server;
   const std::lock_guard hold(lock_);
   const ConnectionPtr before = connection_of(id);
@@ -65,7 +65,7 @@
 // The endpoint registers on a new connection, and the kernel may hold the end of the one before, which the
 // loop has not come to: that is read to its end first, for what lies there was said before. On the loop's
 // thread, as every turn.
-void Front::notice_end(ServerId id, const ConnectionPtr& registering) {
+void Frontend::notice_end(ServerId id, const ConnectionPtr& registering) {
   for (int turns = 0; turns < kMostTurns; ++turns) {
     ConnectionPtr before;
     {
@@ -77,13 +77,13 @@
   }
 }
 
-Front::ConnectionPtr Front::connection_of(ServerId id) {
+Frontend::ConnectionPtr Frontend::connection_of(ServerId id) {
   const auto found = endpoints_.find(id);
   return found == endpoints_.end() ? nullptr : found->second.connection.lock();
 }
 
 // A client's calls go on; an endpoint's set-ups in the air broke, and it gets nothing new until it is back.
-void Front::endpoint_lost(const ConnectionPtr& connection) {
+void Frontend::endpoint_lost(const ConnectionPtr& connection) {
   std::map<CallId, Attempt> attempts;
   core::OfficeEntry entry;
   {
@@ -109,7 +109,7 @@
   core_.at(net::now() + kAway, [this, entry] { forget_if_away(entry); });
 }
 
-void Front::forget_if_away(core::OfficeEntry entry) {
+void Frontend::forget_if_away(core::OfficeEntry entry) {
   {
     const std::lock_guard hold(lock_);
     const auto found = endpoints_.find(entry.entry.server);
--- a/tests/between/streams_test.cpp
+++ b/tests/between/streams_test.cpp
@@ -51,7 +51,7 @@
   for (const LinkSet& cut : {there_, LinkSet{{"b"}, {"a"}}}) {
     between_->set(cut, {.cut = true});
     net::Dial how{};
-    const net::Fd waiting = net::dial_begin(between_->relay("a", "b"), how);
+    const net::Fd waiting = net::begin_dial(between_->relay("a", "b"), how);
     EXPECT_EQ(how, net::Dial::pending);
     connect("c", "b");
     EXPECT_EQ(net::dial_state(waiting), net::Dial::pending);
--- a/tests/crossings/caller_releases_test.cpp
+++ b/tests/crossings/caller_releases_test.cpp
@@ -39,7 +39,7 @@
     Settings settings;
     settings.classes.push_back({.aim = 2s, .deadline = 9s});
     core_ = std::make_unique<core::Core>(settings, 1);
-    front_ = std::make_unique<platform::SipFront>(*core_, std::vector<std::string>{"voice"}, 16);
+    front_ = std::make_unique<platform::SipFrontend>(*core_, std::vector<std::string>{"voice"}, 16);
     address_ = {"127.100.10." + std::to_string(1 + ::getpid() % 250),
                 static_cast<std::uint16_t>(20000 + ::getpid() % 20000)};
     front_->open(address_);
@@ -115,7 +115,7 @@
   std::unique_ptr<core::Core> core_;
   AnsweringEndpoint endpoint_;
   net::Address address_;
-  std::unique_ptr<platform::SipFront> front_;
+  std::unique_ptr<platform::SipFrontend> front_;
 };
 
 TEST_F(CallerReleases, GoesOnTheConnectionOfItsSetUp) {
--- a/tests/crossings/connection_test.cpp
+++ b/tests/crossings/connection_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(c.near->open_at_leaving, std::set{CallId{1}});
   EXPECT_FALSE(c.over);
   EXPECT_FALSE(c.near->listens());
-  EXPECT_EQ(c.near->spare(), net::Peer::Spare::kept);
+  EXPECT_EQ(c.near->spare(), net::Peer::EvictionRank::kept);
   ASSERT_TRUE(c.near->push("refused\n"));
   c.near->closed(CallId{1});
   c.near->turn(false);
@@ -133,7 +133,7 @@
   constexpr std::uint16_t kPort = 24931;
   std::promise<void> go;
   std::atomic<bool> held{false};
-  net::Door door(1000, [&, wait = go.get_future().share()](net::Fd fd) {
+  net::ConnectionListener door(1000, [&, wait = go.get_future().share()](net::Fd fd) {
     held = true;
     wait.wait();
     return std::make_shared<EchoPeer>(std::move(fd), true);
--- a/tests/crossings/discovery_moves_test.cpp
+++ b/tests/crossings/discovery_moves_test.cpp
@@ -31,7 +31,7 @@
   ASSERT_EQ(::listen(old.listening.get(), 0), 0);
   net::Dial how{};
   std::vector<net::Fd> queued;
-  for (int i = 0; i < 4; ++i) queued.push_back(net::dial_begin(old.address, how));
+  for (int i = 0; i < 4; ++i) queued.push_back(net::begin_dial(old.address, how));
   while (net::dial_state(queued.front()) == net::Dial::pending) net::pause_until(net::now() + 1ms);
   const std::size_t before = connecting_to(old.address);
   begin(old, 3, {.connect = 10min, .max_connect_timeout = 10min});
--- a/tests/crossings/endpoint_releases_test.cpp
+++ b/tests/crossings/endpoint_releases_test.cpp
@@ -137,7 +137,7 @@
   ASSERT_EQ(::listen(endpoint.listening.get(), 0), 0);
   net::Dial how{};
   std::vector<net::Fd> queued;
-  for (int i = 0; i < 4; ++i) queued.push_back(net::dial_begin(endpoint.address, how));
+  for (int i = 0; i < 4; ++i) queued.push_back(net::begin_dial(endpoint.address, how));
   first.reset();
   const Time ended = net::now();
   while (callers_.events(kCall).size() < 2 && net::now() < ended + 30s) {
--- a/tests/crossings/last_releases_test.cpp
+++ b/tests/crossings/last_releases_test.cpp
@@ -76,7 +76,7 @@
     settings.classes.push_back({.aim = 2s, .deadline = 9s});
     core_ = std::make_unique<core::Core>(settings, 1);
     offices_ = std::make_unique<platform::Offices>(*core_, std::vector<std::string>{"voice"}, 500ms);
-    front_ = std::make_unique<platform::SipFront>(*core_, std::vector<std::string>{"voice"}, 16);
+    front_ = std::make_unique<platform::SipFrontend>(*core_, std::vector<std::string>{"voice"}, 16);
     const auto port = static_cast<std::uint16_t>(20000 + ::getpid() % 20000);
     const std::string host = "127.100.11." + std::to_string(1 + ::getpid() % 250);
     listening_ = net::listen_on({host, port});
@@ -114,7 +114,7 @@
   static constexpr const char* kToTheEnd = "|never";
   std::unique_ptr<core::Core> core_;
   std::unique_ptr<platform::Offices> offices_;
-  std::unique_ptr<platform::SipFront> front_;
+  std::unique_ptr<platform::SipFrontend> front_;
   net::Fd listening_, endpoint_, caller_;
 };
 
--- a/tests/crossings/one_read_test.cpp
+++ b/tests/crossings/one_read_test.cpp
@@ -130,7 +130,7 @@
   expect_nothing(*second_);
   EXPECT_EQ(endpoints_.starts(), 1U);
   for (SipCaller* caller : {first_, second_})  // none is kept open for the other's call
-    EXPECT_NE(caller->near->spare(), net::Peer::Spare::kept);
+    EXPECT_NE(caller->near->spare(), net::Peer::EvictionRank::kept);
 }
 
 TEST_F(SameInviteTwice, FirstConnectionClosesAndTheSecondIsAnswered) {
--- a/tests/crossings/sip_rig.h
+++ b/tests/crossings/sip_rig.h
@@ -37,7 +37,7 @@
  protected:
   void run_sip(const Settings& settings, std::vector<ServerId> endpoints = {kFirst}) {
     run(settings, std::move(endpoints));
-    front_ = std::make_unique<platform::SipFront>(*core_, std::vector<std::string>{"voice"}, 100);
+    front_ = std::make_unique<platform::SipFrontend>(*core_, std::vector<std::string>{"voice"}, 100);
   }
   void TearDown() override {
     CoreRig::TearDown();
@@ -80,7 +80,7 @@
   }
 
   net::Loop loop_;  // not started: the test gives each step
-  std::unique_ptr<platform::SipFront> front_;
+  std::unique_ptr<platform::SipFrontend> front_;
   std::vector<std::unique_ptr<SipCaller>> callers_at_;
 };
 
--- a/tests/crossings/unread_answers_test.cpp
+++ b/tests/crossings/unread_answers_test.cpp
@@ -43,7 +43,7 @@
 }
 
 // Tells when the loop has begun and given all that was added before it its first turn.
-class FirstTurn final : public net::Watched {
+class FirstTurn final : public net::EventHandler {
  public:
   void turn(bool /*ready*/) override { came = true; }
   std::atomic<bool> came{false};
--- a/tests/crossings/websocket_rig.h
+++ b/tests/crossings/websocket_rig.h
@@ -151,14 +151,14 @@
   }
 
   std::unique_ptr<core::OfficeList> list_;
-  std::unique_ptr<ws::Front> front_;
+  std::unique_ptr<ws::Frontend> front_;
   std::vector<std::unique_ptr<WebSocketPeer>> peers_;
 
  private:
   void make_front() {
     list_ = std::make_unique<core::OfficeList>(*core_);
-    front_ = std::make_unique<ws::Front>(
-        *core_, *list_, ws::Front::Setup{.class_names = {"voice"}, .origins = {}, .connections = 100});
+    front_ = std::make_unique<ws::Frontend>(
+        *core_, *list_, ws::Frontend::Setup{.class_names = {"voice"}, .origins = {}, .connections = 100});
   }
 };
 
--- a/tests/crossings/websocket_shutdown_test.cpp
+++ b/tests/crossings/websocket_shutdown_test.cpp
@@ -19,9 +19,9 @@
     core_ = std::make_unique<core::Core>(settings_, 1);
     list_ = std::make_unique<core::OfficeList>(*core_);
     offices_ = std::make_unique<platform::Offices>(*core_, std::vector<std::string>{"voice"}, 500ms);
-    sip_ = std::make_unique<platform::SipFront>(*core_, std::vector<std::string>{"voice"}, 16);
-    front_ = std::make_unique<ws::Front>(
-        *core_, *list_, ws::Front::Setup{.class_names = {"voice"}, .origins = {}, .connections = 16});
+    sip_ = std::make_unique<platform::SipFrontend>(*core_, std::vector<std::string>{"voice"}, 16);
+    front_ = std::make_unique<ws::Frontend>(
+        *core_, *list_, ws::Frontend::Setup{.class_names = {"voice"}, .origins = {}, .connections = 16});
     core_->start(*front_);
     const int pid = ::getpid();
     address_ = {"127.101." + std::to_string(pid >> 8 & 255) + "." + std::to_string(pid & 255), 6000};
@@ -47,8 +47,8 @@
   std::unique_ptr<core::Core> core_;
   std::unique_ptr<core::OfficeList> list_;
   std::unique_ptr<platform::Offices> offices_;
-  std::unique_ptr<platform::SipFront> sip_;
-  std::unique_ptr<ws::Front> front_;
+  std::unique_ptr<platform::SipFrontend> sip_;
+  std::unique_ptr<ws::Frontend> front_;
   net::Address address_;
 };
 
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -87,21 +87,21 @@
 
 // Found on rf5f9da: with the processor short, a reader came late to what had come for it, and its connection
 // was closed for room as an idle one.
-TEST(Door, PeerWithAMessageInHandIsNotClosedForRoom) {
+TEST(ConnectionListener, PeerWithAMessageInHandIsNotClosedForRoom) {
   Held held;
   net::pause_until(net::now() + std::chrono::milliseconds(300));  // longer than a shy peer is given
-  EXPECT_EQ(held.peer->spare(), net::Peer::Spare::silent);
+  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::silent);
   ASSERT_TRUE(net::write_all(held.far, "mess"));
-  EXPECT_EQ(held.peer->spare(), net::Peer::Spare::kept);  // not yet read
+  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::kept);  // not yet read
   held.peer->turn(true);
-  EXPECT_EQ(held.peer->spare(), net::Peer::Spare::kept);  // read, not yet whole
+  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::kept);  // read, not yet whole
   held.peer->retire();
   EXPECT_FALSE(held.peer->retiring());
   ASSERT_TRUE(net::write_all(held.far, "age\n"));
   held.peer->turn(true);
   char told[8];
   EXPECT_EQ(::recv(held.far.get(), told, sizeof told, MSG_WAITALL), 8);
-  EXPECT_EQ(held.peer->spare(), net::Peer::Spare::idle);
+  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::idle);
   held.peer->retire();
   EXPECT_TRUE(held.peer->retiring());
   held.peer->turn(true);
@@ -109,7 +109,7 @@
 }
 
 // What a peer does not read is bounded, and ends it; what it does read in parts arrives whole.
-TEST(Door, PeerThatReadsNothingIsNotReadEither) {
+TEST(ConnectionListener, PeerThatReadsNothingIsNotReadEither) {
   Held held;
   const std::string line = std::string(8000, 'x') + "\n";
   std::size_t sent = 0;
@@ -132,7 +132,7 @@
 }
 
 // It is ended for that after 2 s; one that is quiet in the middle of a message, or from the start, as late.
-TEST(Door, EachLimitEndsAPeerInItsTimeAndSaysWhich) {
+TEST(ConnectionListener, EachLimitEndsAPeerInItsTimeAndSaysWhich) {
   Held unread, late, silent;
   const std::string line = std::string(8000, 'x') + "\n";
   for (int n = 0; n < 400 && ::send(unread.far.get(), line.data(), line.size(), MSG_DONTWAIT) > 0; ++n)
@@ -150,7 +150,7 @@
 }
 
 // A message cut at every byte: the parts come as they may, the answer is the same and comes once.
-TEST(Door, MessageCutAtEveryByteIsAnsweredOnce) {
+TEST(ConnectionListener, MessageCutAtEveryByteIsAnsweredOnce) {
   const std::string message = "one message of some length\n";
   for (std::size_t cut = 1; cut < message.size(); ++cut) {
     Held held;
@@ -170,7 +170,7 @@
 // A set-up whose last check is under way on the core's thread is queued and not yet written; the socket would
 // take it. To wait for the socket then had it show at once, without end, until that thread had the core
 // again.
-TEST(Door, PeerIsNotWaitedForToWriteWhileAnotherThreadStillChecks) {
+TEST(ConnectionListener, PeerIsNotWaitedForToWriteWhileAnotherThreadStillChecks) {
   Held held;
   held.peer->turn(false);
   bool checked = false;
@@ -189,7 +189,7 @@
 }
 
 // While a peer takes all and asks for little, a message costs no call beside its reading and its answer.
-TEST(Door, InterestIsSetOnceAndAgainOnlyWhileThePeerIsBehind) {
+TEST(ConnectionListener, InterestIsSetOnceAndAgainOnlyWhileThePeerIsBehind) {
   Held held;
   for (int n = 0; n < 50; ++n) {
     ASSERT_TRUE(net::write_all(held.far, "message\n"));
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 // A thing on a loop that notes its turns, and does in each what it is told to, on the loop's thread.
-class Noted final : public net::Watched {
+class Noted final : public net::EventHandler {
  public:
   using Does = std::function<void(int turn, bool ready)>;
   explicit Noted(Does does = {}) : does_(std::move(does)) {}
--- a/tests/system_calls/exchange.cpp
+++ b/tests/system_calls/exchange.cpp
@@ -32,7 +32,7 @@
   settings.release_guard = 50ms;
   core = std::make_unique<core::Core>(settings, 1);
   links = std::make_unique<platform::Offices>(*core, std::vector<std::string>{"voice"}, 500ms);
-  sip = std::make_unique<platform::SipFront>(*core, std::vector<std::string>{"voice"}, 100);
+  sip = std::make_unique<platform::SipFrontend>(*core, std::vector<std::string>{"voice"}, 100);
   core->watch(blame_);
   core->start(*links, sip.get());
   sip->open(front);
--- a/tests/system_calls/exchange.h
+++ b/tests/system_calls/exchange.h
@@ -51,7 +51,7 @@
   std::unique_ptr<FakeClient> client;
   std::unique_ptr<core::Core> core;
   std::unique_ptr<platform::Offices> links;
-  std::unique_ptr<platform::SipFront> sip;
+  std::unique_ptr<platform::SipFrontend> sip;
 
  private:
   struct Blame final : core::OfficeObserver {
--- a/tests/system_calls/waits_test.cpp
+++ b/tests/system_calls/waits_test.cpp
@@ -45,7 +45,7 @@
   net::Fd pending() {
     for (int n = 0; n < 16; ++n) {
       net::Dial how = net::Dial::failed;
-      net::Fd fd = net::dial_begin(address_, how);
+      net::Fd fd = net::begin_dial(address_, how);
       if (how == net::Dial::pending && !net::readable(fd, net::now() + 20ms) &&
           net::dial_state(fd) == net::Dial::pending)
         return fd;
@@ -119,7 +119,7 @@
   faults::disarm();
 }
 
-class Idle final : public net::Watched {
+class Idle final : public net::EventHandler {
  public:
   void turn(bool /*ready*/) override {}
 };
--- a/tests/system_calls/websocket_exchange.cpp
+++ b/tests/system_calls/websocket_exchange.cpp
@@ -40,8 +40,8 @@
   settings.release_guard = 50ms;
   core_ = std::make_unique<core::Core>(settings, 1);
   list_ = std::make_unique<core::OfficeList>(*core_);
-  front_ = std::make_unique<ws::Front>(
-      *core_, *list_, ws::Front::Setup{.class_names = {"voice"}, .origins = {}, .connections = 100});
+  front_ = std::make_unique<ws::Frontend>(
+      *core_, *list_, ws::Frontend::Setup{.class_names = {"voice"}, .origins = {}, .connections = 100});
   core_->start(*front_);
   front_->open(address_);
 }
--- a/tests/system_calls/websocket_exchange.h
+++ b/tests/system_calls/websocket_exchange.h
@@ -46,7 +46,7 @@
   WebSocketClient client_;
   std::unique_ptr<core::Core> core_;
   std::unique_ptr<core::OfficeList> list_;
-  std::unique_ptr<ws::Front> front_;
+  std::unique_ptr<ws::Frontend> front_;
   std::uint64_t further_ = 100;  // calls of expect_serving()
 };
 
