--- a/src/admin/admin.cpp
+++ b/src/admin/admin.cpp
@@ -88,7 +88,7 @@
   while (!stopping_) {
     const std::size_t end = buffer.view().find('\n');
     if (end == std::string_view::npos) {
-      if (buffer.view().size() > kMostRequest || buffer.fill(fd, by) != net::Got::data) return;
+      if (buffer.view().size() > kMostRequest || buffer.fill(fd, by) != net::ReadResult::data) return;
       continue;
     }
     const std::string out = answer(buffer.view().substr(0, end)) + "\n";
@@ -123,7 +123,7 @@
     throw std::runtime_error(path + ": the request could not be written");
   net::Buffer buffer;
   while (buffer.view().find('\n') == std::string_view::npos) {
-    if (buffer.view().size() > kMostAnswer || buffer.fill(fd, by) != net::Got::data)
+    if (buffer.view().size() > kMostAnswer || buffer.fill(fd, by) != net::ReadResult::data)
       throw std::runtime_error(path + ": no whole answer came");
   }
   const std::string line(buffer.view().substr(0, buffer.view().find('\n')));
--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -17,7 +17,7 @@
 
 class UpdatePeer final : public net::Peer {
  public:
-  UpdatePeer(Updates& updates, net::Fd fd) : net::Peer(std::move(fd), kIdle), updates_(updates) {}
+  UpdatePeer(UpdateServer& updates, net::Fd fd) : net::Peer(std::move(fd), kIdle), updates_(updates) {}
 
  protected:
   Next received() override {
@@ -38,10 +38,10 @@
   void left(const std::set<CallId>& /*open*/) override {}
 
  private:
-  Updates& updates_;
+  UpdateServer& updates_;
 };
 
-Updates::Updates(core::OfficeList& list, Zone zone, std::string service, std::string file)
+UpdateServer::UpdateServer(core::OfficeList& list, Zone zone, std::string service, std::string file)
     : list_(list),
       service_(std::move(service)),
       file_(std::move(file)),
@@ -52,7 +52,7 @@
   tell();
 }
 
-std::string Updates::answer(std::string_view message) {
+std::string UpdateServer::answer(std::string_view message) {
   const auto flags = static_cast<std::uint32_t>(net::big_endian(message, 2, 2));
   const std::uint32_t opcode = flags >> 11U & 15U;
   int code = kNotImp;
@@ -79,7 +79,7 @@
 }
 
 // With the lock held. What the zone names no more is told as draining; it is never simply dropped.
-void Updates::tell() {
+void UpdateServer::tell() {
   std::vector<std::string> missing;
   std::vector<core::OfficeEntry> now = zone_.offices(service_, &missing);
   for (const std::string& target : missing)
@@ -97,7 +97,7 @@
 }
 
 // With the lock held. An outage is logged at its beginning, while it lasts, and at its end.
-bool Updates::keep(const Zone& zone) {
+bool UpdateServer::keep(const Zone& zone) {
   if (file_.empty()) return true;
   std::string reason;
   const bool kept = base::replace_file(file_, zone.text(), reason);
--- a/src/dns/updates.h
+++ b/src/dns/updates.h
@@ -16,10 +16,10 @@
 
 namespace reeltack::dns {
 
-class Updates {
+class UpdateServer {
  public:
   // The zone's endpoints are notified at once. `file`: where changes are kept; empty: nowhere.
-  Updates(core::OfficeList& list, Zone zone, std::string service, std::string file);
+  UpdateServer(core::OfficeList& list, Zone zone, std::string service, std::string file);
   void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
   void close_all() { door_.close_all(); }
   std::string answer(std::string_view message);  // a whole message in, its answer out
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -138,7 +138,7 @@
   core.start(sides, node.listen ? &sip : nullptr);
   if (fleet) fleet->start();
   if (!node.known.empty()) list.told(core::Source::platform, true, node.known);
-  std::optional<dns::Updates> zone;
+  std::optional<dns::UpdateServer> zone;
   if (!fronts.zone_file.empty()) {
     dns::Zone read = dns::Zone::read(config::read_file(fronts.zone_file), fronts.zone_file);
     zone.emplace(list, std::move(read), fronts.zone_service, fronts.zone_file);
--- a/src/mgmt/client.cpp
+++ b/src/mgmt/client.cpp
@@ -16,11 +16,11 @@
   Reply out;
   net::Buffer buffer;
   for (;;) {
-    const net::Got got = buffer.fill(up.fd, by);
-    if (got == net::Got::late) throw MgmtError(what + "no whole answer in time");
+    const net::ReadResult got = buffer.fill(up.fd, by);
+    if (got == net::ReadResult::no_data) throw MgmtError(what + "no whole answer in time");
     out.text.append(buffer.view());
     buffer.take(buffer.view().size());
-    if (got == net::Got::closed) break;
+    if (got == net::ReadResult::closed) break;
   }
   out.took = net::now() - from;
   out.ok = out.text.rfind("OK", 0) == 0;
--- a/src/net/buffers.cpp
+++ b/src/net/buffers.cpp
@@ -18,13 +18,13 @@
 
 }  // namespace
 
-Got Buffer::fill(const Fd& from, Time deadline) {
+ReadResult Buffer::fill(const Fd& from, Time deadline) {
   for (;;) {
-    if (!readable(from, deadline)) return Got::late;
-    if (const Got got = fill_now(from); got != Got::late) return got;
+    if (!readable(from, deadline)) return ReadResult::no_data;
+    if (const ReadResult got = fill_now(from); got != ReadResult::no_data) return got;
   }
 }
-Got Buffer::fill_now(const Fd& from) {
+ReadResult Buffer::fill_now(const Fd& from) {
   constexpr std::size_t kStep = 2048;
   if (from_ == to_) {
     from_ = to_ = 0;
@@ -40,10 +40,10 @@
   do {
     n = sys::recv(from.get(), data_.data() + to_, data_.size() - to_);
   } while (n < 0 && errno == EINTR);
-  if (n < 0 && is_for_now(errno)) return Got::late;
-  if (n <= 0) return Got::closed;
+  if (n < 0 && is_for_now(errno)) return ReadResult::no_data;
+  if (n <= 0) return ReadResult::closed;
   to_ += static_cast<std::size_t>(n);
-  return Got::data;
+  return ReadResult::data;
 }
 void Buffer::take(std::size_t n) { from_ += std::min(n, to_ - from_); }
 
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -17,12 +17,12 @@
 
 inline constexpr std::size_t kMaxInputMessageBytes = std::size_t{16} * 1024;
 
-enum class Got { data, closed, late };
+enum class ReadResult { data, closed, no_data };
 // What a connection has received and not yet taken: grows as needed, compacted in place.
 class Buffer {
  public:
-  Got fill(const Fd& from, Time deadline);
-  Got fill_now(const Fd& from);  // without waiting; late: nothing is there
+  ReadResult fill(const Fd& from, Time deadline);
+  ReadResult fill_now(const Fd& from);  // without waiting
   [[nodiscard]] std::string_view view() const { return {data_.data() + from_, to_ - from_}; }
   void take(std::size_t n);
   [[nodiscard]] bool full() const { return to_ - from_ > kMaxInputMessageBytes; }
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -21,7 +21,7 @@
 class ConnectionListener::Listener final : public EventHandler {
  public:
   Listener(ConnectionListener& door, Fd listening) : fd(std::move(listening)), door_(door) {}
-  void turn(bool /*ready*/) override { door_.accept_some(*this); }
+  void handle_event(bool /*ready*/) override { door_.accept_some(*this); }
   Fd fd;
   Loop::Id id = 0;
   std::atomic<bool> closing{false};
@@ -69,7 +69,7 @@
   const std::lock_guard hold(lock_);
   Peer* kept = nullptr;
   for (const auto& [p, held] : peers_) {
-    if (p->listens() && (kept == nullptr || p->heard() > kept->heard())) kept = p;
+    if (p->accepts_output() && (kept == nullptr || p->heard() > kept->heard())) kept = p;
   }
   for (const auto& [p, held] : peers_) {
     if (p != kept) p->close(false);
@@ -159,10 +159,10 @@
   if (found == peers_.end()) return;
   gone = std::move(found->second);
   peers_.erase(found);
-  if (peer.why() == Peer::End::late) ++counts_.late;
-  if (peer.why() == Peer::End::unread) ++counts_.unread;
-  if (peer.why() == Peer::End::room) ++counts_.room;
-  if (peer.why() == Peer::End::cut) ++counts_.cut;
+  if (peer.end_reason() == Peer::EndReason::timeout) ++counts_.late;
+  if (peer.end_reason() == Peer::EndReason::unread) ++counts_.unread;
+  if (peer.end_reason() == Peer::EndReason::evicted) ++counts_.room;
+  if (peer.end_reason() == Peer::EndReason::dropped) ++counts_.cut;
   changed_.notify_all();
 }
 
@@ -178,17 +178,17 @@
   std::size_t excess = peers_.size() - most_;
   std::vector<std::tuple<Peer::EvictionRank, Time, Peer*>> spared;
   for (const auto& [p, held] : peers_) {
-    if (p->retiring()) {
+    if (p->evicting()) {
       if (--excess == 0) return;
       continue;
     }
-    const Peer::EvictionRank spare = p->spare();
-    if (spare != Peer::EvictionRank::kept) spared.emplace_back(spare, p->heard(), p);
+    const Peer::EvictionRank spare = p->eviction_rank();
+    if (spare != Peer::EvictionRank::in_use) spared.emplace_back(spare, p->heard(), p);
   }
   std::sort(spared.begin(), spared.end());
   for (const auto& [spare, heard, p] : spared) {
     if (excess-- == 0) return;
-    p->retire();
+    p->evict();
   }
 }
 
@@ -196,7 +196,7 @@
   const std::lock_guard hold(lock_);
   std::vector<std::pair<Time, Peer*>> open;
   for (const auto& [p, held] : peers_) {
-    if (p->listens()) open.emplace_back(p->heard(), p);
+    if (p->accepts_output()) open.emplace_back(p->heard(), p);
   }
   std::sort(open.rbegin(), open.rend());
   return std::any_of(open.begin(), open.end(), [&takes](const auto& p) { return takes(*p.second); });
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -152,7 +152,7 @@
   if (found == entries_.end()) return;
   found->second.pass = counts_.passes;
   const std::shared_ptr<EventHandler> watched = found->second.watched;  // its turn may remove it
-  watched->turn(ready);
+  watched->handle_event(ready);
 }
 
 // A turn at the time that was set first, for whatever was moved to later counts on it; that is set anew
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -33,7 +33,7 @@
   EventHandler& operator=(const EventHandler&) = delete;
   // `ready`: one of its descriptors can be read or written, or has ended; else its time has come or it was
   // woken.
-  virtual void turn(bool ready) = 0;
+  virtual void handle_event(bool ready) = 0;
 };
 
 class Loop {
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -25,10 +25,10 @@
   id_ = loop.add(shared_from_this());
 }
 
-void Peer::turn(bool ready) {
+void Peer::handle_event(bool ready) {
   if (stage_ == Stage::over) return;
   if (outbox_.flush(fd_) == Outbox::Flushed::broken) {
-    const End why = broken();  // before answers to the rest fail as well
+    const EndReason why = broken();  // before answers to the rest fail as well
     if (stage_ == Stage::reading) read_rest();
     if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(why);
   }
@@ -36,7 +36,7 @@
   if (stage_ == Stage::reading && ready && !outbox_.crowded()) read();
   if (stage_ == Stage::reading && outbox_.crowded() && fd_.far_end_closed()) {
     read_rest();
-    end_reading(End::peer);
+    end_reading(EndReason::peer);
   }
   if (stage_ == Stage::reading) keep_to_limits();
   if (stage_ == Stage::answering) answer_open();
@@ -47,22 +47,22 @@
 }
 
 void Peer::read() {
-  const Got got = retiring_ ? Got::closed : buffer_.fill_now(fd_);
-  if (got == Got::closed) return end_reading(broken());
-  if (got == Got::late) return;
+  const ReadResult got = evicting_ ? ReadResult::closed : buffer_.fill_now(fd_);
+  if (got == ReadResult::closed) return end_reading(broken());
+  if (got == ReadResult::no_data) return;
   const Time at = now();
   heard_ = at.time_since_epoch().count();
   patience_.came(at);
   const Next next = received();
   patience_.in_hand(!buffer_.view().empty());
-  if (next == Next::end) end_reading(End::own);
+  if (next == Next::end) end_reading(EndReason::local);
 }
 
 // A connection that can't be written may have brought what concerns other connections: the end of a standing
 // call, say.
 void Peer::read_rest() {
-  for (int reads = 0; reads < kMostRest && !retiring_; ++reads) {
-    if (buffer_.fill_now(fd_) != Got::data || received() == Next::end) return;
+  for (int reads = 0; reads < kMostRest && !evicting_; ++reads) {
+    if (buffer_.fill_now(fd_) != ReadResult::data || received() == Next::end) return;
   }
 }
 
@@ -73,7 +73,7 @@
   if (closing_ == Closing::whatever_comes) return stop_reading();
   if (may_close()) {
     orderly_ = drains_ = takes_after_close();
-    return abandon_open(End::own);
+    return abandon_open(EndReason::local);
   }
   auto overdue = patience_.overdue(at);
   // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
@@ -85,20 +85,20 @@
   if (!overdue) return;
   switch (*overdue) {
     case limits::PeerTimeout::unread:
-      return abandon_open(End::unread);
+      return abandon_open(EndReason::unread);
     case limits::PeerTimeout::late:
       late();
-      return end_reading(End::late);
+      return end_reading(EndReason::timeout);
     case limits::PeerTimeout::quiet:
       patience_.asked(at);
-      if (quiet() == Next::end) end_reading(End::own);
+      if (quiet() == Next::end) end_reading(EndReason::local);
   }
 }
 
-Peer::End Peer::broken() const {
-  if (retiring_) return End::room;
-  if (cut_) return End::cut;
-  return outbox_.unread() ? End::unread : End::peer;
+Peer::EndReason Peer::broken() const {
+  if (evicting_) return EndReason::evicted;
+  if (cut_) return EndReason::dropped;
+  return outbox_.unread() ? EndReason::unread : EndReason::peer;
 }
 
 bool Peer::may_close() const {
@@ -144,7 +144,7 @@
   const std::lock_guard hold(lock_);
   open_.insert(call);
 }
-void Peer::stood(CallId call) {
+void Peer::established(CallId call) {
   const std::lock_guard hold(lock_);
   if (open_.erase(call) > 0) standing_.insert(call);
   if (outbox_.behind()) unwritten_.insert(call);
@@ -157,23 +157,23 @@
   unwritten_.erase(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
-Peer::EvictionRank Peer::spare() const {
+Peer::EvictionRank Peer::eviction_rank() const {
   const std::lock_guard hold(lock_);
-  return spare_now();
+  return eviction_rank_locked();
 }
 // Kept is all that has a set-up open, has said what is not yet read or taken, or has not been written its
 // answer: where the processor is short, the loop may come to these late.
-Peer::EvictionRank Peer::spare_now() const {
-  if (over_ || retiring_ || answering_ || closing_ != Closing::no || patience_.begun() || !open_.empty() ||
+Peer::EvictionRank Peer::eviction_rank_locked() const {
+  if (over_ || evicting_ || answering_ || closing_ != Closing::no || patience_.begun() || !open_.empty() ||
       outbox_.behind() || fd_.unread())
-    return EvictionRank::kept;
-  if (!patience_.served()) return heard() + kShy < now() ? EvictionRank::silent : EvictionRank::kept;
-  return standing_.empty() ? EvictionRank::idle : EvictionRank::standing;
+    return EvictionRank::in_use;
+  if (!patience_.served()) return heard() + kShy < now() ? EvictionRank::silent : EvictionRank::in_use;
+  return standing_.empty() ? EvictionRank::idle : EvictionRank::established;
 }
-void Peer::retire() {
+void Peer::evict() {
   const std::lock_guard hold(lock_);
-  if (spare_now() == EvictionRank::kept) return;
-  retiring_ = true;
+  if (eviction_rank_locked() == EvictionRank::in_use) return;
+  evicting_ = true;
   fd_.shut();
 }
 void Peer::close(bool now) {
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -40,20 +40,20 @@
 
   // The set-ups that came here and have no final answer yet, and those that stand.
   void opened(CallId call);
-  void stood(CallId call);
+  void established(CallId call);
   void closed(CallId call);
 
   // Why it ended: by its far end, by our own orderly end, or at a limit.
-  enum class End { peer, own, late, unread, room, cut };
-  [[nodiscard]] End why() const { return why_; }  // once it is over
+  enum class EndReason { peer, local, timeout, unread, evicted, dropped };
+  [[nodiscard]] EndReason end_reason() const { return end_reason_; }  // once it is over
 
   // How well it can be spared, the least first; kKept: not at all now.
-  enum class EvictionRank { silent, idle, standing, kept };
-  [[nodiscard]] EvictionRank spare() const;
+  enum class EvictionRank { silent, idle, established, in_use };
+  [[nodiscard]] EvictionRank eviction_rank() const;
   [[nodiscard]] Time heard() const { return Time{Duration{heard_.load()}}; }
   // Ends it for room, at once: what crosses the end is sent again by its caller. Only if it still can be
   // spared.
-  void retire();
+  void evict();
   // Ends it as soon as no set-up is open on it and all that has come is read: what comes until then is taken
   // and answered, for a close under an open set-up would lose what crosses it. A message that has begun is
   // waited for in its time, or not where it is to be `now`.
@@ -62,13 +62,13 @@
   // that. What is open gets its answers, our side is closed, and the far end's last bytes are dropped until
   // it has closed too, or `over_by`. What is still open then is waited for all the same.
   void close_by(Time over_by);
-  [[nodiscard]] bool retiring() const { return retiring_; }
+  [[nodiscard]] bool evicting() const { return evicting_; }
   // It is not ending, by either side, as far as the kernel knows: what is pushed now can still be read.
-  [[nodiscard]] bool listens() const { return !retiring_ && !answering_ && reachable(); }
+  [[nodiscard]] bool accepts_output() const { return !evicting_ && !answering_ && reachable(); }
   // Its far end has not closed, as far as the kernel knows, whether or not the loop has noticed.
   [[nodiscard]] bool reachable() const { return !over_ && !fd_.far_end_closed(); }
 
-  void turn(bool ready) final;
+  void handle_event(bool ready) final;
 
  protected:
   enum class Next { more, end };  // end: nothing more is read; what is queued is still written
@@ -102,9 +102,9 @@
   void read();
   void read_rest();
   [[nodiscard]] bool may_close() const;
-  void end_reading(End why);
+  void end_reading(EndReason why);
   void answer_open();
-  void abandon_open(End why);
+  void abandon_open(EndReason why);
   void tell_left();
   bool drop_input();
   bool take_input_after_close();
@@ -116,8 +116,8 @@
   void arm();
   void keep_to_limits();
   void stop_reading();
-  [[nodiscard]] End broken() const;              // why, where it could not be read or written
-  [[nodiscard]] EvictionRank spare_now() const;  // with the lock held
+  [[nodiscard]] EndReason broken() const;                   // why, where it could not be read or written
+  [[nodiscard]] EvictionRank eviction_rank_locked() const;  // with the lock held
 
   Fd fd_;
   Outbox outbox_;
@@ -126,7 +126,7 @@
   std::function<void(Peer&)> ended_;
   // Of the loop's thread.
   Stage stage_ = Stage::reading;
-  End why_ = End::peer;
+  EndReason end_reason_ = EndReason::peer;
   const Time connected_ = now();
   limits::Patience patience_;
   Time drained_by_ = kNever;
@@ -140,7 +140,7 @@
   std::set<CallId> standing_;
   std::set<CallId> unwritten_;  // of these, with their answers not yet written whole
   std::atomic<Duration::rep> heard_{connected_.time_since_epoch().count()};
-  std::atomic<bool> retiring_{false};
+  std::atomic<bool> evicting_{false};
   std::atomic<bool> answering_{
       false};  // set before open_ is looked at, so that its last answer wakes the loop
   enum class Closing { no, when_idle, now, whatever_comes };
--- a/src/net/peer_ending.cpp
+++ b/src/net/peer_ending.cpp
@@ -18,12 +18,13 @@
 
 }  // namespace
 
-void Peer::end_reading(End why) {
-  if (!answers_open() || why == End::room || why == End::cut || why == End::unread) return abandon_open(why);
-  why_ = why;
+void Peer::end_reading(EndReason why) {
+  if (!answers_open() || why == EndReason::evicted || why == EndReason::dropped || why == EndReason::unread)
+    return abandon_open(why);
+  end_reason_ = why;
   stage_ = Stage::answering;
   answering_ = true;
-  if (why == End::peer) tell_left();
+  if (why == EndReason::peer) tell_left();
 }
 
 // The far end may never pause. What it has sent in time is in the kernel, and is read within a bound; what
@@ -35,7 +36,7 @@
   }
   drains_ = true;
   orderly_ = takes_after_close();
-  end_reading(End::own);
+  end_reading(EndReason::local);
 }
 
 // Nothing more is taken in; the connection ends with the last answer that is owed on it.
@@ -54,8 +55,8 @@
   outbox_.finish();
 }
 
-void Peer::abandon_open(End why) {
-  if (stage_ == Stage::reading) why_ = why;
+void Peer::abandon_open(EndReason why) {
+  if (stage_ == Stage::reading) end_reason_ = why;
   stage_ = Stage::writing;
   outbox_.finish();
   tell_left();
@@ -109,9 +110,9 @@
 bool Peer::take_input_after_close() {
   for (int reads = 0; reads < kMostLastReads; ++reads) {
     const std::size_t before = buffer_.view().size();
-    const Got got = buffer_.fill_now(fd_);
-    if (got == Got::closed) return true;
-    if (got == Got::late) return false;
+    const ReadResult got = buffer_.fill_now(fd_);
+    if (got == ReadResult::closed) return true;
+    if (got == ReadResult::no_data) return false;
     drained_ += buffer_.view().size() - before;
     received_after_close();
     if (drained_ >= kMostDrained || buffer_.full()) return true;
--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -137,9 +137,9 @@
   if (!slow_) return false;
   std::size_t used = 0;
   try {
-    const net::Got got = slow_->buffer.fill_now(slow_->fd);
+    const net::ReadResult got = slow_->buffer.fill_now(slow_->fd);
     if (parse_frame(slow_->buffer.view(), used)) return true;
-    if (got != net::Got::closed && net::now() < slow_until_) return false;
+    if (got != net::ReadResult::closed && net::now() < slow_until_) return false;
   } catch (const std::runtime_error& error) {
     net::log_line(std::string("bulletin: ") + error.what() + "; it was slow, and is let go");
   }
@@ -172,9 +172,9 @@
         continue;
       }
       const Time by = slow_ ? std::min(silent, net::now() + kLookAtSlow) : silent;
-      const net::Got got = current_->buffer.fill(current_->fd, by);
-      if (got == net::Got::closed) return Ended::closed;
-      if (got == net::Got::late && net::now() >= silent) return Ended::silent;
+      const net::ReadResult got = current_->buffer.fill(current_->fd, by);
+      if (got == net::ReadResult::closed) return Ended::closed;
+      if (got == net::ReadResult::no_data && net::now() >= silent) return Ended::silent;
     }
   } catch (const std::runtime_error& error) {
     net::log_line(std::string("bulletin: ") + error.what() + "; connecting anew");
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -98,7 +98,7 @@
   look_in_time();
 }
 
-void OfficeLink::turn(bool ready) {
+void OfficeLink::handle_event(bool ready) {
   std::shared_ptr<Line> line;
   {
     const std::lock_guard hold(lock_);
@@ -172,9 +172,9 @@
 }
 
 bool OfficeLink::read() {  // false: the connection has ended, or can't be trusted
-  const net::Got got = buffer_.fill_now(line_->fd);
-  if (got == net::Got::closed) return false;
-  if (got == net::Got::late) return true;
+  const net::ReadResult got = buffer_.fill_now(line_->fd);
+  if (got == net::ReadResult::closed) return false;
+  if (got == net::ReadResult::no_data) return true;
   const Time at = net::now();
   reach_.heard(at);
   releases_.spoke(at);
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -43,7 +43,7 @@
   void finish();
   [[nodiscard]] bool owes();      // a release waits to be written
   [[nodiscard]] bool finished();  // all that the office had sent is read, and nothing is owed to it
-  void turn(bool ready) override;
+  void handle_event(bool ready) override;
 
  private:
   // One connection. Kept by whoever writes to it, so that its descriptor is not another's meanwhile.
--- a/src/platform/link_leaving.cpp
+++ b/src/platform/link_leaving.cpp
@@ -80,8 +80,8 @@
 }
 
 OfficeLink::RestRead OfficeLink::read_rest(Leaving& from) {
-  const net::Got got = from.buffer.fill_now(from.line->fd);
-  if (got == net::Got::closed) return RestRead::ended;
+  const net::ReadResult got = from.buffer.fill_now(from.line->fd);
+  if (got == net::ReadResult::closed) return RestRead::ended;
   for (;;) {
     const std::string_view held = from.buffer.view();
     const std::size_t end = held.find('\n');
--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -173,7 +173,7 @@
   const bool told = reachable != nullptr && connection &&
                     connection->push(sip_answer(200, "OK", asker.echoed, "", description));
   if (!told && connection) connection->push(sip_answer(487, "Request Terminated", asker.echoed));
-  if (told) connection->stood(call);
+  if (told) connection->established(call);
   close_askers(d, call, told ? connection : nullptr);
   if (!told) {
     dialogues_.erase(found);
--- a/src/platform/sip_releases.cpp
+++ b/src/platform/sip_releases.cpp
@@ -14,7 +14,7 @@
 }
 
 bool SipFrontend::tell_over(SipConnection& to, CallId call, const std::string& line, Takes how) {
-  if (!to.listens() || (how == Takes::at_once && to.behind()) || !to.push(line)) return false;
+  if (!to.accepts_output() || (how == Takes::at_once && to.behind()) || !to.push(line)) return false;
   to.releases_.sent(call, line, net::now());
   return true;
 }
@@ -36,7 +36,8 @@
 // A release that crossed its caller's close is lost with the connection, and nothing else tells of it.
 void SipFrontend::unheard(SipConnection& from) {
   const std::lock_guard hold(lock_);
-  const bool unread = from.why() == net::Peer::End::unread || from.why() == net::Peer::End::cut;
+  const bool unread =
+      from.end_reason() == net::Peer::EndReason::unread || from.end_reason() == net::Peer::EndReason::dropped;
   auto again = unread ? from.releases_.unread() : from.releases_.ended(net::now());
   for (auto& release : again) owed_.push_back(std::move(release));
   std::erase_if(owed_, [this, &from](const auto& release) {
--- a/src/trunk/connection.cpp
+++ b/src/trunk/connection.cpp
@@ -94,7 +94,7 @@
     frame = decode(buffer.view(), used);
     buffer.take(used);
     if (frame) break;
-    if (buffer.fill(fd, by) != net::Got::data) return false;
+    if (buffer.fill(fd, by) != net::ReadResult::data) return false;
   }
   if (!frame->hello) throw std::runtime_error("the far end did not begin with its hello");
   const Hello& far = *frame->hello;
--- a/src/trunk/serving.cpp
+++ b/src/trunk/serving.cpp
@@ -77,10 +77,10 @@
     net::poll_some(waits, 2, static_cast<int>(std::clamp<std::int64_t>(wait, 0, 100)));
     if ((waits[1].revents & POLLIN) != 0) drain_wakes();
     if ((waits[0].revents & (POLLIN | POLLHUP | POLLERR)) == 0) continue;
-    const net::Got got = buffer.fill_now(fd);
-    if (got == net::Got::closed) {
+    const net::ReadResult got = buffer.fill_now(fd);
+    if (got == net::ReadResult::closed) {
       reason = "it is gone";
-    } else if (got == net::Got::late) {  // no memory for what shows as readable
+    } else if (got == net::ReadResult::no_data) {  // no memory for what shows as readable
       net::pause_until(base::now() + kMemoryRetryDelay);
     } else {
       heard = base::now();
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -77,7 +77,7 @@
     if (found == endpoint.attempts.end() || found->second.number != set_up.attempt) return false;
     const ConnectionPtr connection = endpoint.connection.lock();
     const std::int64_t left_ms = whole_ms_left(set_up.give_up);
-    if (connection && connection->listens() && endpoint.entry.entry.state == ServerState::ready &&
+    if (connection && connection->accepts_output() && endpoint.entry.entry.state == ServerState::ready &&
         left_ms > 0) {
       if (left_ms < told_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
@@ -138,7 +138,7 @@
 // On the connection, or owed to the next; it is kept until the endpoint must have read it.
 void Frontend::send_release(Endpoint& endpoint, CallId call, std::string message) {
   const ConnectionPtr connection = endpoint.connection.lock();
-  if (!connection || !connection->listens() || !connection->send(message)) {
+  if (!connection || !connection->accepts_output() || !connection->send(message)) {
     endpoint.owed.emplace_back(call, std::move(message));
     return;
   }
--- a/src/ws/registrations.cpp
+++ b/src/ws/registrations.cpp
@@ -72,8 +72,8 @@
       const std::lock_guard hold(lock_);
       before = connection_of(id);
     }
-    if (!before || before == registering || before->listens()) return;
-    before->turn(true);
+    if (!before || before == registering || before->accepts_output()) return;
+    before->handle_event(true);
   }
 }
 
--- a/tests/crossings/connection_test.cpp
+++ b/tests/crossings/connection_test.cpp
@@ -16,12 +16,12 @@
   Connection first, rest, half;
   ASSERT_TRUE(net::write_all(rest.far, "begun "));
   ASSERT_TRUE(rest.await_unread());
-  rest.near->turn(true);
+  rest.near->handle_event(true);
   first.send("first\n");
   rest.send("and whole\n");
   half.send("half");
   net::pause_until(net::now() + 2100ms);  // the limit is 2 s
-  for (Connection* c : {&first, &rest, &half}) c->near->turn(false);
+  for (Connection* c : {&first, &rest, &half}) c->near->handle_event(false);
   EXPECT_EQ(first.near->lines, 1);
   EXPECT_EQ(rest.near->lines, 1);
   EXPECT_FALSE(first.over || rest.over);
@@ -32,12 +32,12 @@
 TEST(ConnectionCrossings, ConnectionThatSaidNothingInTimeIsLateStill) {
   Connection silent, half;
   half.send("half");
-  half.near->turn(true);
+  half.near->handle_event(true);
   net::pause_until(net::now() + 2100ms);
-  silent.near->turn(false);
-  half.near->turn(false);
-  EXPECT_EQ(silent.near->why(), net::Peer::End::late);
-  EXPECT_EQ(half.near->why(), net::Peer::End::late);
+  silent.near->handle_event(false);
+  half.near->handle_event(false);
+  EXPECT_EQ(silent.near->end_reason(), net::Peer::EndReason::timeout);
+  EXPECT_EQ(half.near->end_reason(), net::Peer::EndReason::timeout);
 }
 
 // What is open is answered first; a connection that can't answer is left at once.
@@ -46,14 +46,14 @@
   c.near->opened(CallId{1});
   ASSERT_EQ(::shutdown(c.far.get(), SHUT_WR), 0);
   ASSERT_TRUE(await_kernel([&] { return !c.near->reachable(); }));
-  c.near->turn(true);
+  c.near->handle_event(true);
   EXPECT_EQ(c.near->open_at_leaving, std::set{CallId{1}});
   EXPECT_FALSE(c.over);
-  EXPECT_FALSE(c.near->listens());
-  EXPECT_EQ(c.near->spare(), net::Peer::EvictionRank::kept);
+  EXPECT_FALSE(c.near->accepts_output());
+  EXPECT_EQ(c.near->eviction_rank(), net::Peer::EvictionRank::in_use);
   ASSERT_TRUE(c.near->push("refused\n"));
   c.near->closed(CallId{1});
-  c.near->turn(false);
+  c.near->handle_event(false);
   EXPECT_TRUE(c.over);
   EXPECT_EQ(c.near->lefts, 1);
   EXPECT_EQ(c.read_to_end(), "refused\n|end");
@@ -63,7 +63,7 @@
   Connection c(false);
   c.near->opened(CallId{1});
   c.close_far();
-  c.near->turn(true);
+  c.near->handle_event(true);
   EXPECT_EQ(c.near->open_at_leaving, std::set{CallId{1}});
   EXPECT_TRUE(c.over);
 }
@@ -72,16 +72,16 @@
   Connection c;
   c.near->opened(CallId{1});
   c.send("bad\nnever read\n");
-  c.near->turn(true);
+  c.near->handle_event(true);
   EXPECT_EQ(c.near->lines, 1);
   EXPECT_EQ(c.near->lefts, 0);
   ASSERT_TRUE(c.near->push("answer\n"));
   c.near->closed(CallId{1});
-  c.near->turn(false);
+  c.near->handle_event(false);
   EXPECT_FALSE(c.over);  // it drops what still comes, so that its answers arrive
   ASSERT_EQ(::shutdown(c.far.get(), SHUT_WR), 0);
   ASSERT_TRUE(await_kernel([&] {
-    c.near->turn(true);
+    c.near->handle_event(true);
     return c.over;
   }));
   EXPECT_EQ(c.read_to_end(), "bad\nanswer\n|end");
@@ -92,14 +92,14 @@
   Connection idle, resting;
   for (Connection* c : {&idle, &resting}) {
     c->send("served\n");
-    c->near->turn(true);
+    c->near->handle_event(true);
   }
-  idle.near->retire();
-  ASSERT_TRUE(idle.near->retiring());
+  idle.near->evict();
+  ASSERT_TRUE(idle.near->evicting());
   static_cast<void>(net::write_all(idle.far, "crossed\n"));
-  idle.near->turn(true);
+  idle.near->handle_event(true);
   resting.near->close(false);
-  resting.near->turn(false);
+  resting.near->handle_event(false);
   static_cast<void>(net::write_all(resting.far, "crossed\n"));
   for (Connection* c : {&idle, &resting}) {
     EXPECT_TRUE(c->over);
@@ -113,15 +113,15 @@
   Connection idle, resting;
   for (Connection* c : {&idle, &resting}) {
     c->send("served\n");
-    c->near->turn(true);
+    c->near->handle_event(true);
     c->send("before\n");
   }
-  idle.near->retire();
-  EXPECT_FALSE(idle.near->retiring());  // kept: it has said what is not yet read
+  idle.near->evict();
+  EXPECT_FALSE(idle.near->evicting());  // kept: it has said what is not yet read
   resting.near->close(false);
-  resting.near->turn(false);
+  resting.near->handle_event(false);
   EXPECT_FALSE(resting.over);
-  resting.near->turn(true);
+  resting.near->handle_event(true);
   EXPECT_EQ(resting.near->lines, 2);
   EXPECT_TRUE(resting.over);
   EXPECT_EQ(resting.read_to_end(), "served\nbefore\n|end");
--- a/tests/crossings/endpoint_connections_test.cpp
+++ b/tests/crossings/endpoint_connections_test.cpp
@@ -171,7 +171,7 @@
 TEST_F(EndpointConnections, ConnectionBegunBeforeANewStartIsNotUsed) {
   FakeEndpoint& endpoint = add(1);
   tell(endpoint, ServerState::ready);
-  endpoint.link->turn(false);  // it connects, and is up as far as the kernel knows
+  endpoint.link->handle_event(false);  // it connects, and is up as far as the kernel knows
   const net::Fd begun = net::accept_one(endpoint.listening, net::now() + 10s);
   ASSERT_TRUE(static_cast<bool>(begun));
   tell(endpoint, ServerState::ready, StartId{5000});
--- a/tests/crossings/endpoint_world.h
+++ b/tests/crossings/endpoint_world.h
@@ -154,12 +154,12 @@
   net::Fd connected(FakeEndpoint& endpoint) {
     tell(endpoint, ServerState::ready);
     net::Fd out = accept(endpoint);
-    endpoint.link->turn(true);
+    endpoint.link->handle_event(true);
     return out;
   }
   void turn() {
     for (auto& [id, endpoint] : links_.all) {
-      if (!endpoint.held) endpoint.link->turn(true);
+      if (!endpoint.held) endpoint.link->handle_event(true);
     }
   }
   // Enough for a connection that has come up, and all that has come on it.
--- a/tests/crossings/one_read_test.cpp
+++ b/tests/crossings/one_read_test.cpp
@@ -76,8 +76,8 @@
   caller.step();
   expect_message(caller, {"SIP/2.0 400"});
   EXPECT_EQ(endpoints_.given_up(kCall), 0U);
-  EXPECT_FALSE(caller.near->listens());  // no release of another call is spent on it
-  caller.far.raw("more of it");          // dropped
+  EXPECT_FALSE(caller.near->accepts_output());  // no release of another call is spent on it
+  caller.far.raw("more of it");                 // dropped
   caller.step();
   core_->answered(kFirst, kCall, "by a");
   settle(*core_);
@@ -130,7 +130,7 @@
   expect_nothing(*second_);
   EXPECT_EQ(endpoints_.starts(), 1U);
   for (SipCaller* caller : {first_, second_})  // none is kept open for the other's call
-    EXPECT_NE(caller->near->spare(), net::Peer::EvictionRank::kept);
+    EXPECT_NE(caller->near->eviction_rank(), net::Peer::EvictionRank::in_use);
 }
 
 TEST_F(SameInviteTwice, FirstConnectionClosesAndTheSecondIsAnswered) {
--- a/tests/crossings/sending_caller_test.cpp
+++ b/tests/crossings/sending_caller_test.cpp
@@ -16,7 +16,7 @@
     c_.near->before_it_takes = [this] { c_.send("line\n"); };
     c_.send("line\n");
   }
-  void turn() { c_.near->turn(true); }
+  void turn() { c_.near->handle_event(true); }
   void expect_each_line_answered(const std::string& last, const std::string& end) const {
     ASSERT_TRUE(await_kernel([this] { return c_.far.far_end_closed(); })) << "it is not closed";
     std::string expected;
@@ -50,7 +50,7 @@
   turn();
   EXPECT_TRUE(c_.over);
   EXPECT_EQ(c_.near->lines, lines);
-  EXPECT_EQ(c_.near->why(), net::Peer::End::own);
+  EXPECT_EQ(c_.near->end_reason(), net::Peer::EndReason::local);
 }
 
 // It sends on after our close: the connection is over by the time that was told, not before its answers.
--- a/tests/crossings/sip_rig.h
+++ b/tests/crossings/sip_rig.h
@@ -16,7 +16,7 @@
   std::shared_ptr<platform::SipConnection> near;
   bool over = false;  // the front has let it go
 
-  void step() const { near->turn(true); }
+  void step() const { near->handle_event(true); }
   void send(const std::string& text) const {
     far.send(text);
     step();
--- a/tests/crossings/unread_answers_test.cpp
+++ b/tests/crossings/unread_answers_test.cpp
@@ -14,7 +14,7 @@
   const net::Fd near(::dup(c.near_fd));
   for (int n = 0; n < 2000 && !near.unread(); ++n) {
     c.send(line);
-    for (int turns = 0; turns < 20; ++turns) c.near->turn(true);
+    for (int turns = 0; turns < 20; ++turns) c.near->handle_event(true);
   }
   ASSERT_TRUE(c.near->behind());
   ASSERT_TRUE(near.unread());
@@ -26,7 +26,7 @@
   c.near->opened(CallId{1});
   reset(c.far);
   ASSERT_TRUE(await_kernel([&] { return !c.near->reachable(); }));
-  c.near->turn(true);
+  c.near->handle_event(true);
   EXPECT_TRUE(c.over);
   EXPECT_EQ(c.near->open_at_leaving, std::set{CallId{1}});
 }
@@ -37,7 +37,7 @@
   c.near->opened(CallId{1});
   ASSERT_EQ(::shutdown(c.far.get(), SHUT_WR), 0);
   ASSERT_TRUE(await_kernel([&] { return !c.near->reachable(); }));
-  c.near->turn(false);  // of its own time: no event tells of it
+  c.near->handle_event(false);  // of its own time: no event tells of it
   EXPECT_EQ(c.near->open_at_leaving, std::set{CallId{1}});
   EXPECT_FALSE(c.over);  // its answers may still be read
 }
@@ -45,7 +45,7 @@
 // Tells when the loop has begun and given all that was added before it its first turn.
 class FirstTurn final : public net::EventHandler {
  public:
-  void turn(bool /*ready*/) override { came = true; }
+  void handle_event(bool /*ready*/) override { came = true; }
   std::atomic<bool> came{false};
 };
 
@@ -61,7 +61,7 @@
   ASSERT_EQ(::shutdown(c.far.get(), SHUT_WR), 0);
   ASSERT_TRUE(await_kernel([&] { return c.near->lefts.load() == 1; }));
   c.loop.stop();
-  EXPECT_EQ(c.near->why(), net::Peer::End::peer);
+  EXPECT_EQ(c.near->end_reason(), net::Peer::EndReason::peer);
 }
 
 }  // namespace
--- a/tests/crossings/websocket_rig.h
+++ b/tests/crossings/websocket_rig.h
@@ -19,7 +19,7 @@
   std::shared_ptr<ws::Connection> near;
   bool over = false;  // the front has let it go
 
-  void step() const { near->turn(true); }
+  void step() const { near->handle_event(true); }
   // In one write, and taken by the front in one turn.
   void send_bytes(const std::string& bytes) const {
     far.raw(bytes);
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -90,21 +90,21 @@
 TEST(ConnectionListener, PeerWithAMessageInHandIsNotClosedForRoom) {
   Held held;
   net::pause_until(net::now() + std::chrono::milliseconds(300));  // longer than a shy peer is given
-  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::silent);
+  EXPECT_EQ(held.peer->eviction_rank(), net::Peer::EvictionRank::silent);
   ASSERT_TRUE(net::write_all(held.far, "mess"));
-  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::kept);  // not yet read
-  held.peer->turn(true);
-  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::kept);  // read, not yet whole
-  held.peer->retire();
-  EXPECT_FALSE(held.peer->retiring());
+  EXPECT_EQ(held.peer->eviction_rank(), net::Peer::EvictionRank::in_use);  // not yet read
+  held.peer->handle_event(true);
+  EXPECT_EQ(held.peer->eviction_rank(), net::Peer::EvictionRank::in_use);  // read, not yet whole
+  held.peer->evict();
+  EXPECT_FALSE(held.peer->evicting());
   ASSERT_TRUE(net::write_all(held.far, "age\n"));
-  held.peer->turn(true);
+  held.peer->handle_event(true);
   char told[8];
   EXPECT_EQ(::recv(held.far.get(), told, sizeof told, MSG_WAITALL), 8);
-  EXPECT_EQ(held.peer->spare(), net::Peer::EvictionRank::idle);
-  held.peer->retire();
-  EXPECT_TRUE(held.peer->retiring());
-  held.peer->turn(true);
+  EXPECT_EQ(held.peer->eviction_rank(), net::Peer::EvictionRank::idle);
+  held.peer->evict();
+  EXPECT_TRUE(held.peer->evicting());
+  held.peer->handle_event(true);
   EXPECT_TRUE(held.over);
 }
 
@@ -115,7 +115,7 @@
   std::size_t sent = 0;
   for (int n = 0; n < 400 && ::send(held.far.get(), line.data(), line.size(), MSG_DONTWAIT) > 0; ++n) {
     sent += line.size();
-    held.peer->turn(true);
+    held.peer->handle_event(true);
   }
   EXPECT_LT(sent, line.size() * 400);  // its own messages are not taken any more
   EXPECT_TRUE(held.peer->behind());
@@ -125,7 +125,7 @@
   for (int n = 0; n < 100'000 && got < sent; ++n) {
     const ssize_t some = ::recv(held.far.get(), back.data() + got, sent - got, MSG_DONTWAIT);
     if (some > 0) got += static_cast<std::size_t>(some);
-    held.peer->turn(true);
+    held.peer->handle_event(true);
   }
   EXPECT_EQ(got / line.size(), sent / line.size());
   EXPECT_EQ(back.substr(0, line.size()), line);
@@ -136,17 +136,17 @@
   Held unread, late, silent;
   const std::string line = std::string(8000, 'x') + "\n";
   for (int n = 0; n < 400 && ::send(unread.far.get(), line.data(), line.size(), MSG_DONTWAIT) > 0; ++n)
-    unread.peer->turn(true);
+    unread.peer->handle_event(true);
   ASSERT_TRUE(net::write_all(late.far, "whole\nhalf"));
-  late.peer->turn(true);
+  late.peer->handle_event(true);
   net::pause_until(net::now() + std::chrono::milliseconds(2100));
   for (Held* held : {&unread, &late, &silent}) {
-    held->peer->turn(false);
+    held->peer->handle_event(false);
     EXPECT_TRUE(held->over);
   }
-  EXPECT_EQ(unread.peer->why(), net::Peer::End::unread);
-  EXPECT_EQ(late.peer->why(), net::Peer::End::late);
-  EXPECT_EQ(silent.peer->why(), net::Peer::End::late);
+  EXPECT_EQ(unread.peer->end_reason(), net::Peer::EndReason::unread);
+  EXPECT_EQ(late.peer->end_reason(), net::Peer::EndReason::timeout);
+  EXPECT_EQ(silent.peer->end_reason(), net::Peer::EndReason::timeout);
 }
 
 // A message cut at every byte: the parts come as they may, the answer is the same and comes once.
@@ -155,11 +155,11 @@
   for (std::size_t cut = 1; cut < message.size(); ++cut) {
     Held held;
     ASSERT_TRUE(net::write_all(held.far, message.substr(0, cut)));
-    held.peer->turn(true);
+    held.peer->handle_event(true);
     char none = 0;
     EXPECT_EQ(::recv(held.far.get(), &none, 1, MSG_DONTWAIT), -1) << cut;
     ASSERT_TRUE(net::write_all(held.far, message.substr(cut)));
-    held.peer->turn(true);
+    held.peer->handle_event(true);
     std::string back(64, ' ');
     const ssize_t n = ::recv(held.far.get(), back.data(), back.size(), MSG_DONTWAIT);
     ASSERT_GT(n, 0) << cut;
@@ -172,16 +172,16 @@
 // again.
 TEST(ConnectionListener, PeerIsNotWaitedForToWriteWhileAnotherThreadStillChecks) {
   Held held;
-  held.peer->turn(false);
+  held.peer->handle_event(false);
   bool checked = false;
   ASSERT_TRUE(held.peer->push("message\n", 1, [&](std::string& /*bytes*/) {
     const std::uint64_t before = held.loop.counts().controls;
     EXPECT_TRUE(held.peer->behind());
-    held.peer->turn(false);  // as the loop's own, beside the check
+    held.peer->handle_event(false);  // as the loop's own, beside the check
     EXPECT_EQ(held.loop.counts().controls, before);
     return checked = true;
   }));
-  held.peer->turn(false);
+  held.peer->handle_event(false);
   EXPECT_TRUE(checked);
   EXPECT_FALSE(held.peer->behind());
   char told[8];
@@ -193,16 +193,16 @@
   Held held;
   for (int n = 0; n < 50; ++n) {
     ASSERT_TRUE(net::write_all(held.far, "message\n"));
-    held.peer->turn(true);
+    held.peer->handle_event(true);
   }
   EXPECT_EQ(held.loop.counts().controls, 2U);  // its own bell, and reading this peer
   while (!held.peer->behind()) ASSERT_TRUE(held.peer->push(std::string(8000, 'x')));
-  held.peer->turn(false);
+  held.peer->handle_event(false);
   EXPECT_EQ(held.loop.counts().controls, 3U);  // now for writing
   std::string back(1 << 20, ' ');
   while (held.peer->behind()) {
     static_cast<void>(!::recv(held.far.get(), back.data(), back.size(), MSG_DONTWAIT));
-    held.peer->turn(true);
+    held.peer->handle_event(true);
   }
   EXPECT_EQ(held.loop.counts().controls, 4U);
 }
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -17,7 +17,7 @@
  public:
   using Does = std::function<void(int turn, bool ready)>;
   explicit Noted(Does does = {}) : does_(std::move(does)) {}
-  void turn(bool ready) override {
+  void handle_event(bool ready) override {
     const std::lock_guard hold(lock_);
     ++turns_;
     if (does_) does_(turns_, ready);
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -73,10 +73,10 @@
   net::Fd connect() {
     net::Fd out;
     for (int turns = 0; !out && turns < 1000; ++turns) {
-      link_->turn(false);
+      link_->handle_event(false);
       out = net::accept_one(listening_, net::now() + 10ms);
     }
-    link_->turn(true);
+    link_->handle_event(true);
     EXPECT_TRUE(static_cast<bool>(out));
     return out;
   }
@@ -86,7 +86,7 @@
     link_->keep(true);
     net::Fd out;
     for (int turns = 0; !out && turns < 1000; ++turns) {
-      link_->turn(false);
+      link_->handle_event(false);
       out = net::accept_one(listening_, net::now() + 10ms);
     }
     EXPECT_TRUE(static_cast<bool>(out));
@@ -96,7 +96,7 @@
     net::write_all(to, platform::finish_line(CallId{call}));
   }
   void turns() {
-    for (int i = 0; i < 20; ++i) link_->turn(true);
+    for (int i = 0; i < 20; ++i) link_->handle_event(true);
   }
   // All that has come on `from` until it is quiet, with turns of the link meanwhile.
   std::string heard(const net::Fd& from) {
@@ -144,7 +144,7 @@
 TEST_F(Link, ReleaseThatCrossesTheEndOfAQuietConnectionIsTaken) {
   const net::Fd first = connect();
   const net::Fd second = asked();
-  link_->turn(true);  // the second one has taken its place
+  link_->handle_event(true);  // the second one has taken its place
   say_over(first, 7);
   turns();
   EXPECT_TRUE(strays_.await(CallId{7}));
@@ -155,7 +155,7 @@
 TEST_F(Link, OnAConnectionThatWasLeftSpoiltBytesCostNothing) {
   const net::Fd first = connect();
   const net::Fd second = asked();
-  link_->turn(true);
+  link_->handle_event(true);
   net::write_all(first, "noise\n");
   turns();
   say_over(second, 7);
@@ -170,10 +170,10 @@
     const net::Fd first = connect();
     link_->release(CallId{7});
     net::Fd second = asked();
-    link_->turn(true);
+    link_->handle_event(true);
     EXPECT_NE(heard(second).find("0000000000000007"), std::string::npos);
   }
-  link_->turn(true);  // it hears of both ends
+  link_->handle_event(true);  // it hears of both ends
   net::pause_until(net::now() + 30ms);
   const net::Fd third = connect();
   EXPECT_NE(heard(third).find("0000000000000007"), std::string::npos) << "its reader had hung up within 1 s";
@@ -183,7 +183,7 @@
   net::Fd first = connect();
   link_->release(CallId{7});
   link_->listed({{.server = kOffice, .place = 0, .start = StartId{5000}}, net::to_text(address_)});
-  link_->turn(true);
+  link_->handle_event(true);
   net::pause_until(net::now() + 30ms);
   const net::Fd second = connect();
   EXPECT_EQ(heard(second), "");
@@ -251,7 +251,7 @@
     const bool came = net::readable(up, net::now() + 10ms);
     const ssize_t n = came ? ::recv(up.get(), chunk, sizeof chunk, 0) : 0;
     if (n > 0) lines.append(chunk, static_cast<std::size_t>(n));
-    link_->turn(true);
+    link_->handle_event(true);
     // It had not read for 2 s, on a machine that stood still: the connection was ended, and the next is used.
     if (came && n <= 0) up = connect();
   }
@@ -270,7 +270,7 @@
   const linger reset{1, 0};
   ::setsockopt(first.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   first.reset();
-  link_->turn(true);
+  link_->handle_event(true);
   net::pause_until(net::now() + 30ms);
   const net::Fd second = connect();
   const auto left = left_in(heard(second), call);
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -58,9 +58,9 @@
         buffer_.take(n);
         return out;
       }
-      const net::Got got = buffer_.fill(fd_, deadline);
-      if (got == net::Got::late) return "late";
-      if (got == net::Got::closed) return "end";
+      const net::ReadResult got = buffer_.fill(fd_, deadline);
+      if (got == net::ReadResult::no_data) return "late";
+      if (got == net::ReadResult::closed) return "end";
     }
   }
   [[nodiscard]] bool holds_more() const {
--- a/tests/system_calls/silence_test.cpp
+++ b/tests/system_calls/silence_test.cpp
@@ -61,17 +61,17 @@
   link->listed({{.server = kEndpoint}, net::to_text(at)});
   net::Fd first;
   for (int turns = 0; !first && turns < 1000; ++turns) {
-    link->turn(false);
+    link->handle_event(false);
     first = net::accept_one(listener, net::now() + 10ms);
   }
   ASSERT_TRUE(first);
-  link->turn(true);
+  link->handle_event(true);
   link->keep(true);
   {
     const faults::ProgramCalls counted;
     faults::arm({.call = Call::socket, .error = EMFILE, .repeat = faults::kForEver});
     for (const Time by = net::now() + kLost + 200ms; net::now() < by; net::pause_until(net::now() + 20ms))
-      link->turn(false);
+      link->handle_event(false);
     faults::disarm();
   }
   EXPECT_GT(faults::failed(), 0U);
@@ -79,7 +79,7 @@
   EXPECT_FALSE(blame.unreachable);
   // It has not left the first connection, and asks by a second one now that it can.
   EXPECT_FALSE(first.far_end_closed());
-  link->turn(false);
+  link->handle_event(false);
   EXPECT_TRUE(net::accept_one(listener, net::now() + 5s));
   core.stop();
 }
--- a/tests/system_calls/waits_test.cpp
+++ b/tests/system_calls/waits_test.cpp
@@ -112,7 +112,7 @@
   faults::arm({.call = Call::poll, .error = ENOMEM, .repeat = faults::kForEver});
   const Time from = net::now();
   net::Buffer buffer;
-  EXPECT_EQ(buffer.fill(pair.near, net::now() + 20ms), net::Got::late);
+  EXPECT_EQ(buffer.fill(pair.near, net::now() + 20ms), net::ReadResult::no_data);
   EXPECT_FALSE(net::write_all(pair.near, std::string(std::size_t{8} << 20U, 'x'), net::now() + 20ms));
   const auto spent = std::chrono::ceil<std::chrono::milliseconds>(net::now() - from).count();
   EXPECT_LE(faults::visited(Call::poll), static_cast<std::uint64_t>(spent + 20));
@@ -121,7 +121,7 @@
 
 class Idle final : public net::EventHandler {
  public:
-  void turn(bool /*ready*/) override {}
+  void handle_event(bool /*ready*/) override {}
 };
 
 // The wake that was lost so: the loop slept on until something else came.
--- a/tests/system_calls/zone_updates_test.cpp
+++ b/tests/system_calls/zone_updates_test.cpp
@@ -140,7 +140,7 @@
     dns::Zone zone = dns::Zone::read(
         "$ORIGIN t.example.\n$TTL 60\n@ IN SOA ns m ( 7 1 1 1 1 )\n_c._tcp SRV 0 1 4000 a\na A 127.1.1.200\n",
         "z");
-    dns::Updates updates(list, std::move(zone), kService, "");
+    dns::UpdateServer updates(list, std::move(zone), kService, "");
     updates.open(own_address(0));
     begin();
     UpdateClient client(own_address(0));
