--- a/src/net/buffers.cpp
+++ b/src/net/buffers.cpp
@@ -9,47 +9,47 @@
 namespace reeltack::net {
 namespace {
 
-// Nothing can be moved now, and the connection is sound.
-bool is_for_now(int error) {
+// No bytes can be transferred at present, but the connection is intact.
+bool is_temporary(int error) {
   return error == EAGAIN || error == EWOULDBLOCK || error == ENOBUFS || error == ENOMEM;
 }
 
-constexpr Duration kUnread = std::chrono::seconds(2);  // of one message that a peer does not read
+constexpr Duration kWriteTimeout = std::chrono::seconds(2);  // time for the peer to read one message
 
 }  // namespace
 
 ReadResult Buffer::fill(const Fd& from, Time deadline) {
   for (;;) {
     if (!readable(from, deadline)) return ReadResult::no_data;
-    if (const ReadResult got = fill_now(from); got != ReadResult::no_data) return got;
+    if (const ReadResult result = fill_now(from); result != ReadResult::no_data) return result;
   }
 }
 ReadResult Buffer::fill_now(const Fd& from) {
   constexpr std::size_t kStep = 2048;
-  if (from_ == to_) {
-    from_ = to_ = 0;
-    if (data_.size() > 4 * kStep) data_ = {};  // what one large message took is not kept for good
+  if (begin_ == end_) {
+    begin_ = end_ = 0;
+    if (data_.size() > 4 * kStep) data_ = {};  // release what one large message needed
   }
-  if (data_.size() - to_ < kStep && from_ > 0) {
-    std::memmove(data_.data(), data_.data() + from_, to_ - from_);
-    to_ -= from_;
-    from_ = 0;
+  if (data_.size() - end_ < kStep && begin_ > 0) {
+    std::memmove(data_.data(), data_.data() + begin_, end_ - begin_);
+    end_ -= begin_;
+    begin_ = 0;
   }
-  if (data_.size() - to_ < kStep) data_.resize(std::max(data_.size() * 2, kStep));
+  if (data_.size() - end_ < kStep) data_.resize(std::max(data_.size() * 2, kStep));
   ssize_t n = 0;
   do {
-    n = sys::recv(from.get(), data_.data() + to_, data_.size() - to_);
+    n = sys::recv(from.get(), data_.data() + end_, data_.size() - end_);
   } while (n < 0 && errno == EINTR);
-  if (n < 0 && is_for_now(errno)) return ReadResult::no_data;
+  if (n < 0 && is_temporary(errno)) return ReadResult::no_data;
   if (n <= 0) return ReadResult::closed;
-  to_ += static_cast<std::size_t>(n);
+  end_ += static_cast<std::size_t>(n);
   return ReadResult::data;
 }
-void Buffer::take(std::size_t n) { from_ += std::min(n, to_ - from_); }
+void Buffer::take(std::size_t n) { begin_ += std::min(n, end_ - begin_); }
 
 bool Outbox::push(std::string bytes, std::uint64_t tag, Check check) {
   const std::lock_guard hold(lock_);
-  if (closed_ || finishing_ || queued_ + bytes.size() > kMostQueued) return false;
+  if (closed_ || finishing_ || queued_ + bytes.size() > kMaxOutboxBytes) return false;
   queued_ += bytes.size();
   items_.push_back({std::move(bytes), tag, std::move(check)});
   return true;
@@ -57,12 +57,12 @@
 
 Outbox::Sent Outbox::send(const Fd& to, std::string bytes) {
   const std::lock_guard hold(lock_);
-  if (closed_ || finishing_ || queued_ + bytes.size() > kMostQueued) return Sent::refused;
-  if (items_.empty() && leaving_.empty() && !busy_) {
-    leaving_ = std::move(bytes);
-    read_by_ = now() + kUnread;
+  if (closed_ || finishing_ || queued_ + bytes.size() > kMaxOutboxBytes) return Sent::refused;
+  if (items_.empty() && partial_.empty() && !flushing_) {
+    partial_ = std::move(bytes);
+    write_deadline_ = now() + kWriteTimeout;
     if (!write_some(to)) return Sent::refused;
-    return leaving_.empty() ? Sent::whole : Sent::queued;
+    return partial_.empty() ? Sent::whole : Sent::queued;
   }
   queued_ += bytes.size();
   items_.push_back({std::move(bytes), 0, {}});
@@ -72,18 +72,18 @@
 bool Outbox::write_some(const Fd& to) {
   std::size_t written = 0;
   bool sound = true;
-  while (written < leaving_.size()) {
-    const ssize_t n = sys::send(to.get(), leaving_.data() + written, leaving_.size() - written);
+  while (written < partial_.size()) {
+    const ssize_t n = sys::send(to.get(), partial_.data() + written, partial_.size() - written);
     if (n < 0 && errno == EINTR) continue;
-    sound = n > 0 || is_for_now(errno);
+    sound = n > 0 || is_temporary(errno);
     if (n <= 0) break;
     written += static_cast<std::size_t>(n);
   }
-  leaving_.erase(0, written);
-  if (leaving_.empty()) {
-    leaving_ = {};
-    read_by_ = kNever;
-  } else if (now() >= read_by_) {
+  partial_.erase(0, written);
+  if (partial_.empty()) {
+    partial_ = {};
+    write_deadline_ = kNever;
+  } else if (now() >= write_deadline_) {
     unread_ = true;
     sound = false;
   }
@@ -93,26 +93,26 @@
 
 Outbox::Flushed Outbox::flush(const Fd& to) {
   std::unique_lock hold(lock_);
-  if (busy_) return Flushed::all;
+  if (flushing_) return Flushed::all;
   for (;;) {
     if (closed_) return Flushed::broken;
-    if (!leaving_.empty() && !write_some(to)) return Flushed::broken;
-    if (!leaving_.empty()) return Flushed::blocked;
+    if (!partial_.empty() && !write_some(to)) return Flushed::broken;
+    if (!partial_.empty()) return Flushed::blocked;
     if (items_.empty()) return finishing_ ? Flushed::done : Flushed::all;
     Item item = std::move(items_.front());
     items_.pop_front();
     queued_ -= item.bytes.size();
     bool leaves = true;
     if (item.check) {
-      busy_ = true;
+      flushing_ = true;
       hold.unlock();
       leaves = item.check(item.bytes);
       hold.lock();
-      busy_ = false;
+      flushing_ = false;
     }
     if (!leaves) continue;
-    leaving_ = std::move(item.bytes);
-    read_by_ = now() + kUnread;
+    partial_ = std::move(item.bytes);
+    write_deadline_ = now() + kWriteTimeout;
   }
 }
 
@@ -142,7 +142,7 @@
 }
 bool Outbox::behind() const {
   const std::lock_guard hold(lock_);
-  return !closed_ && (busy_ || !leaving_.empty() || !items_.empty());
+  return !closed_ && (flushing_ || !partial_.empty() || !items_.empty());
 }
 bool Outbox::broken() const {
   const std::lock_guard hold(lock_);
@@ -150,19 +150,19 @@
 }
 bool Outbox::blocked() const {
   const std::lock_guard hold(lock_);
-  return !closed_ && !leaving_.empty();
+  return !closed_ && !partial_.empty();
 }
-bool Outbox::crowded() const {
+bool Outbox::congested() const {
   const std::lock_guard hold(lock_);
-  return queued_ + leaving_.size() > kMuchQueued;
+  return queued_ + partial_.size() > kCongestedBytes;
 }
 bool Outbox::unread() const {
   const std::lock_guard hold(lock_);
   return unread_;
 }
-Time Outbox::due() const {
+Time Outbox::write_deadline() const {
   const std::lock_guard hold(lock_);
-  return read_by_;
+  return write_deadline_;
 }
 
 }  // namespace reeltack::net
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -1,10 +1,10 @@
-// What a connection has received and not yet taken, and what it is to send.
+// Input buffer and output queue of one connection.
 //
-// Owns: the one input buffer of a connection, and its bounded queue of output.
-// Must never: wait, know a message, or decide anything.
+// Buffer holds bytes that were received and not yet consumed; Outbox holds a bounded amount of output.
+// Neither interprets what it holds. Sizes are bytes, times absolute. Failures are reported by the returned
+// value; errno is not preserved.
 //
-// Threads: a Buffer is its reader's alone; an Outbox may be used by any. Sizes are bytes, times absolute.
-// What has failed is said by the value returned; errno is not kept.
+// Threads: a Buffer belongs to the thread that reads it; an Outbox may be used from any thread.
 #pragma once
 
 #include <deque>
@@ -18,67 +18,69 @@
 inline constexpr std::size_t kMaxInputMessageBytes = std::size_t{16} * 1024;
 
 enum class ReadResult { data, closed, no_data };
-// What a connection has received and not yet taken: grows as needed, compacted in place.
+// Bytes received and not yet consumed. Grows as needed and is compacted in place.
 class Buffer {
  public:
   ReadResult fill(const Fd& from, Time deadline);
   ReadResult fill_now(const Fd& from);  // without waiting
-  [[nodiscard]] std::string_view view() const { return {data_.data() + from_, to_ - from_}; }
+  [[nodiscard]] std::string_view view() const { return {data_.data() + begin_, end_ - begin_}; }
   void take(std::size_t n);
-  [[nodiscard]] bool full() const { return to_ - from_ > kMaxInputMessageBytes; }
+  // More is held than one message may take.
+  [[nodiscard]] bool full() const { return end_ - begin_ > kMaxInputMessageBytes; }
 
  private:
   std::string data_;
-  std::size_t from_ = 0;
-  std::size_t to_ = 0;
+  std::size_t begin_ = 0;
+  std::size_t end_ = 0;
 };
 
-// The queue of output of one connection. Nothing here ever waits: what does not go at once stays queued, and
-// whoever watches the descriptor flushes it when it can be written again. Any thread.
+// Output queue of one connection. No function waits: what cannot be written at once stays queued until the
+// component that watches the descriptor calls flush() because it is writable again. Thread-safe.
 class Outbox {
  public:
-  // Asked as the message is about to leave, with no lock held; false: it is dropped unsent. It may put other
-  // bytes in the message's place, for what was true when it was queued may not be true any more.
+  // Called without the lock just before the message is written; false: the message is dropped unsent. It may
+  // replace the bytes, since what was true when the message was queued may have changed.
   using Check = std::function<bool(std::string& bytes)>;
-  // False: closed, or the peer does not read and the queue is full; the connection should end then.
+  // False: closed, or the queue is full because the peer does not read; the connection should end then.
   bool push(std::string bytes, std::uint64_t tag = 0, Check check = {});
   enum class Sent { whole, queued, refused };
-  // Writes what goes without waiting, if nothing is before it; the rest is queued and needs a flush.
+  // Writes as much as the socket takes if nothing is queued before it; the rest is queued and needs a flush.
   Sent send(const Fd& to, std::string bytes);
-  bool withdraw(std::uint64_t tag);  // true: it had not begun to leave and never will
-  // Writes what goes now. done: nothing is left, and nothing more will come; broken: the connection has
-  // failed, or its peer has not read one message within 2 s.
+  // True: the message had not begun to be written, and is removed.
+  bool withdraw(std::uint64_t tag);
+  // Writes as much as the socket takes. done: the queue is empty and finish() was called; broken: the
+  // connection has failed, or its peer did not read one message within 2 s.
   enum class Flushed { all, blocked, done, broken };
   Flushed flush(const Fd& to);
-  void finish();                         // nothing more is taken; what is queued still leaves
-  void abandon();                        // nothing more leaves
+  void finish();                         // accepts no more; what is queued is still written
+  void abandon();                        // writes no more
   [[nodiscard]] bool finishing() const;  // finish() was called
-  [[nodiscard]] bool behind() const;     // something is still unwritten
-  // The socket took only a part: whoever watches it waits for it to take more. What is merely queued is not
-  // waited for so, since a socket that takes all would show at once, and again, until its writer comes.
+  [[nodiscard]] bool behind() const;     // something is not written yet
+  // The socket took only part of a message, so writability has to be watched for. Messages that are merely
+  // queued do not count: a writable socket would be reported at once and repeatedly until they are flushed.
   [[nodiscard]] bool blocked() const;
-  [[nodiscard]] bool crowded() const;  // so much that no more should be read of its peer
-  [[nodiscard]] bool broken() const;   // nothing leaves any more
-  [[nodiscard]] bool unread() const;   // it broke because a message was not read in time
-  [[nodiscard]] Time due() const;      // by when its peer must have read what is being written
+  [[nodiscard]] bool congested() const;       // so much is queued that no more should be read from the peer
+  [[nodiscard]] bool broken() const;          // nothing is written any more
+  [[nodiscard]] bool unread() const;          // it broke because the peer did not read a message in time
+  [[nodiscard]] Time write_deadline() const;  // deadline for the message that is being written
 
  private:
-  // By hundreds of peers that do not read, so much must fit into the least memory.
-  static constexpr std::size_t kMostQueued = std::size_t{64} * 1024;
-  static constexpr std::size_t kMuchQueued = std::size_t{8} * 1024;
+  // Hundreds of peers that do not read may each hold this much, which must fit into the smallest memory.
+  static constexpr std::size_t kMaxOutboxBytes = std::size_t{64} * 1024;
+  static constexpr std::size_t kCongestedBytes = std::size_t{8} * 1024;
   struct Item {
     std::string bytes;
     std::uint64_t tag = 0;
     Check check;
   };
-  // With the lock held. False: it has failed.
+  // Requires the lock. False: the connection has failed.
   bool write_some(const Fd& to);
   mutable std::mutex lock_;
   std::deque<Item> items_;
   std::size_t queued_ = 0;  // bytes of the items
-  std::string leaving_;     // the rest of a message that has begun to leave
-  Time read_by_ = kNever;
-  bool busy_ = false;  // a flush is at it, and takes what is queued meanwhile
+  std::string partial_;     // unwritten rest of the message being written
+  Time write_deadline_ = kNever;
+  bool flushing_ = false;  // a flush is running, which also writes what is queued meanwhile
   bool finishing_ = false;
   bool closed_ = false;
   bool unread_ = false;
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -7,51 +7,53 @@
 namespace reeltack::net {
 namespace {
 
-constexpr Duration kLook = std::chrono::milliseconds(5);
-// Those over the limit that may wait while idle ones are asked to end.
+constexpr Duration kRetryInterval = std::chrono::milliseconds(5);
+// Connections accepted beyond the limit while idle ones are being evicted.
 constexpr std::size_t kOverflow = 32;
-// At the end, while there is no room for those that are in the listener's queue: so often, kLook apart.
-constexpr int kMostLooksAtTheEnd = 50;
-constexpr int kMostLost = 1024;  // in a row, that had ended before they were accepted
-constexpr int kMostAtOnce = 32;  // accepted in a turn, so that a flood does not keep the others waiting
+// While shutting down, retries of accepting the connections left in the kernel's queue during a shortage of
+// descriptors or memory, kRetryInterval apart.
+constexpr int kMaxFinalRetries = 50;
+constexpr int kMaxAborted = 1024;  // consecutive connections that had ended before they were accepted
+// Accepted in one event, so that a flood of connections does not starve the others.
+constexpr int kMaxAcceptsPerEvent = 32;
 
 }  // namespace
 
-// The listener on its door's loop. Of the loop's thread but for `closing`.
-class ConnectionListener::Listener final : public EventHandler {
+// The listening socket on the owner's loop. Used on the loop's thread only, except for `closing`.
+class ConnectionListener::ListeningSocket final : public EventHandler {
  public:
-  Listener(ConnectionListener& door, Fd listening) : fd(std::move(listening)), door_(door) {}
-  void handle_event(bool /*ready*/) override { door_.accept_some(*this); }
+  ListeningSocket(ConnectionListener& owner, Fd listening) : fd(std::move(listening)), owner_(owner) {}
+  void handle_event(bool /*ready*/) override { owner_.accept_some(*this); }
   Fd fd;
   Loop::Id id = 0;
   std::atomic<bool> closing{false};
-  int looks = 0;        // since it is closing
-  bool closed = false;  // with the door's lock
+  int retries = 0;      // since `closing` was set
+  bool closed = false;  // guarded by the owner's lock
 
  private:
-  ConnectionListener& door_;
+  ConnectionListener& owner_;
 };
 
-ConnectionListener::ConnectionListener(std::size_t most, Make make, Joined joined)
-    : most_(most), make_(std::move(make)), joined_(std::move(joined)) {}
+ConnectionListener::ConnectionListener(std::size_t max_connections, MakePeer make, OnAccepted on_accepted)
+    : max_connections_(max_connections), make_peer_(std::move(make)), on_accepted_(std::move(on_accepted)) {}
 
 void ConnectionListener::open(const Address& at) {
-  listener_ = std::make_shared<Listener>(*this, listen_on(at));
+  listener_ = std::make_shared<ListeningSocket>(*this, listen_on(at));
   loop_ = std::make_unique<Loop>();
   listener_->id = loop_->add(listener_);
   try {
     loop_->start();
-  } catch (...) {  // nothing would ever close what never ran
+  } catch (...) {  // a loop that never ran would never close it
     loop_.reset();
     listener_.reset();
     throw;
   }
 }
-void ConnectionListener::yield(std::size_t most) {
+void ConnectionListener::yield(std::size_t max_connections) {
   if (!listener_) return;
   if (!yield_port(listener_->fd)) log_line("the port can't be yielded: new connections still come here too");
-  most_ = std::min(most, most_.load());
-  loop_->wake(listener_->id);  // its turn makes room
+  max_connections_ = std::min(max_connections, max_connections_.load());
+  loop_->wake(listener_->id);  // handling the event evicts the excess
 }
 void ConnectionListener::stop_accepting() {
   if (!listener_) return;
@@ -60,9 +62,9 @@
   std::unique_lock hold(lock_);
   changed_.wait(hold, [this] { return listener_->closed; });
 }
-void ConnectionListener::close_idle(const Which& which) {
+void ConnectionListener::close_idle(const Filter& filter) {
   stop_accepting();
-  close_peers(false, which);
+  close_peers(false, filter);
 }
 void ConnectionListener::close_idle_but_one() {
   stop_accepting();
@@ -75,25 +77,25 @@
     if (p != kept) p->close(false);
   }
 }
-void ConnectionListener::close_now(const Which& which) {
+void ConnectionListener::close_now(const Filter& filter) {
   stop_accepting();
-  close_peers(true, which);
+  close_peers(true, filter);
 }
 void ConnectionListener::close_by(Time over_by) {
   stop_accepting();
   const std::lock_guard hold(lock_);
   for (const auto& [key, p] : peers_) p->close_by(over_by);
 }
-void ConnectionListener::close_peers(bool now, const Which& which) {
+void ConnectionListener::close_peers(bool now, const Filter& filter) {
   const std::lock_guard hold(lock_);
   for (const auto& [key, p] : peers_) {
-    if (!which || which(*p)) p->close(now);
+    if (!filter || filter(*p)) p->close(now);
   }
 }
-bool ConnectionListener::closed(const Which& which) {
+bool ConnectionListener::closed(const Filter& filter) {
   const std::lock_guard hold(lock_);
   return std::none_of(peers_.begin(), peers_.end(),
-                      [&which](const auto& held) { return !which || which(*held.second); });
+                      [&filter](const auto& held) { return !filter || filter(*held.second); });
 }
 void ConnectionListener::close_all() {
   if (!loop_) return;
@@ -102,35 +104,36 @@
     std::unique_lock hold(lock_);
     changed_.wait(hold, [this] { return peers_.empty(); });
   }
-  loop_->stop();  // and kept: whoever still holds a peer of it may wake it
+  loop_->stop();  // not destroyed: a component that still holds a peer may wake it
   listener_.reset();
 }
 
-void ConnectionListener::accept_some(Listener& listener) {
+void ConnectionListener::accept_some(ListeningSocket& listener) {
   if (!listener.fd) return;
   const bool closing = listener.closing;
-  const bool last = closing && ++listener.looks >= kMostLooksAtTheEnd;
-  // Whoever the kernel has let in already may have sent a request, and closing the listener would reset it:
-  // at the end all are taken in, at once.
+  const bool last = closing && ++listener.retries >= kMaxFinalRetries;
+  // Connections that the kernel has already accepted may carry a request, and closing the listening socket
+  // would reset them: on closing, all of them are accepted at once.
   bool waits = false;
   bool none = false;
-  int lost = 0;
-  for (int n = 0; closing || n < kMostAtOnce; ++n) {
-    if (!closing && !place()) {  // those that wait stay in the listener's queue
+  int aborted = 0;
+  for (int n = 0; closing || n < kMaxAcceptsPerEvent; ++n) {
+    if (!closing && !has_capacity()) {  // the rest stay in the kernel's queue
       waits = true;
       break;
     }
     Accepted next = try_accept(listener.fd);
     if (next.how == Accepted::How::up) admit(std::move(next.fd));
-    lost = next.how == Accepted::How::lost ? lost + 1 : 0;
-    waits = next.how == Accepted::How::shortage || lost >= kMostLost;  // would come back at once, in vain
-    // At the end one answer is not enough: what closes under them is lost.
+    aborted = next.how == Accepted::How::lost ? aborted + 1 : 0;
+    // Retrying at once would fail again.
+    waits = next.how == Accepted::How::shortage || aborted >= kMaxAborted;
+    // On closing, one "none" is not enough: a connection that arrives as the socket closes would be lost.
     const bool before = std::exchange(none, next.how == Accepted::How::none);
     if (waits || (none && (before || !closing))) break;
   }
   if (!closing || (waits && !last)) {
     loop_->watch(listener.id, listener.fd, !waits, false);
-    loop_->due(listener.id, waits ? now() + kLook : kNever);
+    loop_->due(listener.id, waits ? now() + kRetryInterval : kNever);
     return;
   }
   loop_->unwatch(listener.fd);
@@ -142,22 +145,22 @@
 }
 
 void ConnectionListener::admit(Fd fd) {
-  const std::shared_ptr<Peer> peer = make_(std::move(fd));
+  const std::shared_ptr<Peer> peer = make_peer_(std::move(fd));
   {
     const std::lock_guard hold(lock_);
     peers_.emplace(peer.get(), peer);
   }
   ++counts_.accepted;
-  peer->begin(*loop_, [this](Peer& p) { left(p); });
-  if (joined_) joined_(*peer);
+  peer->begin(*loop_, [this](Peer& p) { on_ended(p); });
+  if (on_accepted_) on_accepted_(*peer);
 }
 
-void ConnectionListener::left(Peer& peer) {
-  std::shared_ptr<Peer> gone;  // dies without the lock, if nobody else holds it
+void ConnectionListener::on_ended(Peer& peer) {
+  std::shared_ptr<Peer> ended;  // destroyed after the lock is released, if this is the last reference
   const std::lock_guard hold(lock_);
   const auto found = peers_.find(&peer);
   if (found == peers_.end()) return;
-  gone = std::move(found->second);
+  ended = std::move(found->second);
   peers_.erase(found);
   if (peer.end_reason() == Peer::EndReason::timeout) ++counts_.late;
   if (peer.end_reason() == Peer::EndReason::unread) ++counts_.unread;
@@ -166,27 +169,27 @@
   changed_.notify_all();
 }
 
-bool ConnectionListener::place() {
+bool ConnectionListener::has_capacity() {
   const std::lock_guard hold(lock_);
-  if (peers_.size() > most_) make_room();
-  return peers_.size() < most_ + kOverflow;
+  if (peers_.size() > max_connections_) evict_excess();
+  return peers_.size() < max_connections_ + kOverflow;
 }
 
-// Those that never said a word go first, then those without a call, then those whose calls stand (the release
-// of these goes by another connection); of each kind the one that was quiet longest.
-void ConnectionListener::make_room() {
-  std::size_t excess = peers_.size() - most_;
-  std::vector<std::tuple<Peer::EvictionRank, Time, Peer*>> spared;
+// Evicts connections that never sent anything first, then those without a call, then those whose calls are
+// established (their releases can use another connection); within each group the longest idle first.
+void ConnectionListener::evict_excess() {
+  std::size_t excess = peers_.size() - max_connections_;
+  std::vector<std::tuple<Peer::EvictionRank, Time, Peer*>> candidates;
   for (const auto& [p, held] : peers_) {
     if (p->evicting()) {
       if (--excess == 0) return;
       continue;
     }
-    const Peer::EvictionRank spare = p->eviction_rank();
-    if (spare != Peer::EvictionRank::in_use) spared.emplace_back(spare, p->heard(), p);
+    const Peer::EvictionRank rank = p->eviction_rank();
+    if (rank != Peer::EvictionRank::in_use) candidates.emplace_back(rank, p->heard(), p);
   }
-  std::sort(spared.begin(), spared.end());
-  for (const auto& [spare, heard, p] : spared) {
+  std::sort(candidates.begin(), candidates.end());
+  for (const auto& [rank, heard, p] : candidates) {
     if (excess-- == 0) return;
     p->evict();
   }
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -33,8 +33,8 @@
     if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(why);
   }
   note_written();
-  if (stage_ == Stage::reading && ready && !outbox_.crowded()) read();
-  if (stage_ == Stage::reading && outbox_.crowded() && fd_.far_end_closed()) {
+  if (stage_ == Stage::reading && ready && !outbox_.congested()) read();
+  if (stage_ == Stage::reading && outbox_.congested() && fd_.far_end_closed()) {
     read_rest();
     end_reading(EndReason::peer);
   }
@@ -69,7 +69,7 @@
 // Nothing more is taken from a peer that leaves its answers unread: they would pile up.
 void Peer::keep_to_limits() {
   const Time at = now();
-  patience_.crowded(outbox_.crowded(), at);
+  patience_.crowded(outbox_.congested(), at);
   if (closing_ == Closing::whatever_comes) return stop_reading();
   if (may_close()) {
     orderly_ = drains_ = takes_after_close();
@@ -77,7 +77,7 @@
   }
   auto overdue = patience_.overdue(at);
   // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
-  while (overdue && overdue != limits::PeerTimeout::unread && !outbox_.crowded() && fd_.unread()) {
+  while (overdue && overdue != limits::PeerTimeout::unread && !outbox_.congested() && fd_.unread()) {
     read();
     if (stage_ != Stage::reading) return;
     overdue = patience_.overdue(at);
@@ -110,10 +110,10 @@
 
 // Told anew after each turn: what it waits for, and until when.
 void Peer::arm() {
-  const bool reads = (stage_ == Stage::reading && !outbox_.crowded()) ||
+  const bool reads = (stage_ == Stage::reading && !outbox_.congested()) ||
                      (stage_ == Stage::answering && !left_told_) || stage_ == Stage::draining;
   loop_->watch(id_, fd_, reads, outbox_.blocked());
-  Time at = outbox_.due();
+  Time at = outbox_.write_deadline();
   if (stage_ == Stage::reading) at = std::min(at, patience_.next());
   if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kLookForClose);
   if (stage_ == Stage::draining) at = std::min(at, drained_by_);
--- a/src/net/peer_ending.cpp
+++ b/src/net/peer_ending.cpp
@@ -30,7 +30,7 @@
 // The far end may never pause. What it has sent in time is in the kernel, and is read within a bound; what
 // comes later crosses our close, and is sent again by its sender.
 void Peer::stop_reading() {
-  for (int reads = 0; reads < kMostLastReads && !outbox_.crowded() && fd_.unread(); ++reads) {
+  for (int reads = 0; reads < kMostLastReads && !outbox_.congested() && fd_.unread(); ++reads) {
     read();
     if (stage_ != Stage::reading) return;
   }
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -205,7 +205,7 @@
   Time at = net::kNever;
   if (line_) {
     loop_.watch(watch_, line_->fd, true, line_->outbox.blocked());
-    at = std::min(line_->outbox.due(), asking_ ? dial_by_ : second_dial_at());
+    at = std::min(line_->outbox.write_deadline(), asking_ ? dial_by_ : second_dial_at());
     if (asking_) loop_.watch(watch_, asking_, false, true);
   } else if (dialling_) {
     loop_.watch(watch_, dialling_, false, true);
