--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -16,8 +16,8 @@
 namespace reeltack::net {
 namespace {
 
-// How soon a call is tried again that failed for want of memory or descriptors.
-constexpr auto kRoomAwaited = std::chrono::milliseconds(1);
+// Pause before retrying a call that failed for want of memory or descriptors.
+constexpr auto kShortageRetry = std::chrono::milliseconds(1);
 
 constexpr int kListenBacklog = 512;
 
@@ -33,7 +33,7 @@
     const int n = sys::poll(&p, 1, wait);
     if (n > 0) return true;
     if (n <= 0 && now() >= deadline) return false;
-    if (n < 0 && errno != EINTR) std::this_thread::sleep_for(kRoomAwaited);  // ENOMEM
+    if (n < 0 && errno != EINTR) std::this_thread::sleep_for(kShortageRetry);  // ENOMEM
   }
 }
 
@@ -45,12 +45,12 @@
   return out;
 }
 
-// Of this host, for a moment.
+// Temporary shortages of this host.
 bool is_shortage(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
-// Without it answers come later; nothing else depends on it.
+// A failure is ignored: answers come later without it, and nothing else depends on it.
 void no_delay(int fd) {
   const int on = 1;
   sys::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -70,7 +70,7 @@
   return *this;
 }
 void Fd::reset() {
-  if (fd_ >= 0) sys::close(fd_);  // let go whatever it returns, and so not tried again
+  if (fd_ >= 0) sys::close(fd_);  // the descriptor is released whatever is returned, so no retry
   fd_ = -1;
 }
 void Fd::shut() const {
@@ -105,7 +105,7 @@
   no_delay(fd.get());
   if (sys::connect(fd.get(), reinterpret_cast<const sockaddr*>(&*target), sizeof *target) == 0) {
     how = Dial::up;
-  } else if (errno == EINPROGRESS || errno == EINTR) {  // interrupted, it goes on by itself
+  } else if (errno == EINPROGRESS || errno == EINTR) {  // after a signal the connect continues by itself
     how = Dial::pending;
   } else if (is_shortage(errno) || errno == EADDRNOTAVAIL || errno == EAGAIN || errno == ENETUNREACH) {
     how = Dial::shortage;
@@ -128,7 +128,7 @@
   if (out.how == Dial::pending)
     out.how = wait_for(out.fd.get(), POLLOUT, deadline) ? dial_state(out.fd) : Dial::failed;
   if (out.how != Dial::up) return {Fd{}, out.how};
-  // No read or write here waits in the kernel in any case: whatever fails, the connection is up.
+  // Reads and writes never block here (MSG_DONTWAIT), so a failure to clear O_NONBLOCK is harmless.
   const int flags = sys::fcntl(out.fd.get(), F_GETFL);
   if (flags >= 0) sys::fcntl(out.fd.get(), F_SETFL, flags & ~O_NONBLOCK);
   return out;
@@ -141,19 +141,20 @@
   if (!fd) cannot_listen(at, "socket", errno);
   const int on = 1;
   sys::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  // A process that replaces this one listens beside it on the same port until this one has ended.
+  // A replacement process listens on the same port until this process has ended.
   sys::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   if (sys::bind(fd.get(), reinterpret_cast<const sockaddr*>(&*target), sizeof *target) != 0)
     cannot_listen(at, "bind", errno);
   if (sys::listen(fd.get(), kListenBacklog) != 0) cannot_listen(at, "listen", errno);
-  // What an earlier handover attached stays with the port, and would have this listener passed over.
+  // A program attached by an earlier handover stays with the port and would bypass this listener.
   sys::setsockopt(fd.get(), SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, &on, sizeof on);
   return fd;
 }
 
 bool yield_port(const Fd& listener) {
-  // Listeners of one port are numbered as they joined, and one that leaves is replaced by the last: the one
-  // that is asked to end has number 0. Where there is no number 1, the kernel chooses as without a program.
+  // Listeners of one port are numbered in the order they joined, and the last takes the number of one that
+  // leaves: the process asked to end has number 0. Without a number 1, the kernel selects as if no program
+  // were attached.
   sock_filter next[] = {{BPF_RET | BPF_K, 0, 0, 1}};
   const sock_fprog program{1, next};
   return sys::setsockopt(listener.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) == 0;
@@ -182,7 +183,7 @@
     case EHOSTUNREACH:
     case ETIMEDOUT:
       return {How::lost, {}};
-    default:  // EMFILE, ENFILE, ENOBUFS, ENOMEM; what can't be known is not tried at once again either
+    default:  // EMFILE, ENFILE, ENOBUFS, ENOMEM; unknown errors are not retried at once either
       return {How::shortage, {}};
   }
 }
@@ -193,14 +194,14 @@
     Accepted next = try_accept(listener);
     if (next.how == Accepted::How::up) return std::move(next.fd);
     if (now() >= deadline) return Fd{};
-    if (next.how == Accepted::How::shortage) std::this_thread::sleep_for(kRoomAwaited);
+    if (next.how == Accepted::How::shortage) std::this_thread::sleep_for(kShortageRetry);
   }
 }
 
 void poll_some(pollfd* polled, std::size_t count, int milliseconds) {
   if (sys::poll(polled, count, milliseconds) >= 0) return;
   for (std::size_t i = 0; i < count; ++i) polled[i].revents = 0;
-  if (errno != EINTR) std::this_thread::sleep_for(kRoomAwaited);  // ENOMEM
+  if (errno != EINTR) std::this_thread::sleep_for(kShortageRetry);  // ENOMEM
 }
 
 void pause_until(Time at) {
@@ -215,7 +216,7 @@
     const ssize_t n = sys::send(to.get(), bytes.data(), bytes.size());
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == ENOBUFS || errno == ENOMEM) && now() < by) {
-      std::this_thread::sleep_for(kRoomAwaited);
+      std::this_thread::sleep_for(kShortageRetry);
       continue;
     }
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK) && wait_for(to.get(), POLLOUT, by)) continue;
@@ -230,7 +231,7 @@
 void drain(const Fd& from, Time by, std::size_t most) {
   constexpr std::size_t kStep = std::size_t{256} * 1024;
   for (std::size_t dropped = 0; dropped < most && wait_for(from.get(), POLLIN, by);) {
-    // TCP drops the bytes itself where it is told to truncate: no memory, and no copy.
+    // With MSG_TRUNC, TCP discards the bytes without copying them.
     const ssize_t n = sys::recv(from.get(), nullptr, kStep, MSG_TRUNC);
     if (n == 0 || (n < 0 && errno != EINTR && errno != EAGAIN)) return;
     dropped += static_cast<std::size_t>(std::max<ssize_t>(n, 0));
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -1,7 +1,6 @@
-// Sockets under every front.
+// TCP sockets: an RAII descriptor, dialling, listening, accepting, and bounded reads and writes.
 //
-// Owns: descriptors (RAII), and what is asked of the system with one.
-// Must never: know a message, decide anything, or take a span of time where an absolute deadline can be had.
+// Times are absolute deadlines of the steady clock (base::now()). Nothing here knows a message format.
 #pragma once
 
 #include <poll.h>
@@ -14,7 +13,7 @@
 
 namespace reeltack::net {
 
-using namespace base;  // what is no socket, under the names by which the wires know it
+using namespace base;  // so that protocol code can name base types and functions through net::
 
 class Fd {
  public:
@@ -26,48 +25,49 @@
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
   void reset();
-  void shut() const;        // both ways: wakes whoever reads or writes it
-  void shut_read() const;   // wakes whoever reads it, once what has come is read
-  void shut_write() const;  // what was written arrives, and then the end
-  [[nodiscard]] bool unread() const;
-  [[nodiscard]] bool far_end_closed() const;  // its end, or a break, has come; what came before may be unread
+  void shut() const;                          // both ways: wakes threads that read or write it
+  void shut_read() const;                     // wakes a reading thread once what has arrived is read
+  void shut_write() const;                    // the far end reads what was written, then the end
+  [[nodiscard]] bool unread() const;          // bytes have arrived that were not read yet
+  [[nodiscard]] bool far_end_closed() const;  // closed or reset; bytes that came before may be unread
 
  private:
   int fd_ = -1;
 };
 
-// `shortage`: this host has no port, route, descriptor or memory for it now, which says nothing of the far
-// end.
+// `shortage`: this host currently has no port, route, descriptor or memory for the connection, which is no
+// evidence about the far end.
 enum class Dial { up, refused, failed, shortage, pending };
 struct Dialled {
   Fd fd;
   Dial how = Dial::failed;
 };
 Dialled dial(const Address& to, Time deadline);
-// Shares the port with whoever else listens on it (SO_REUSEPORT). Throws std::runtime_error.
+// Shares the port with other listeners on it (SO_REUSEPORT). Throws std::runtime_error.
 Fd listen_on(const Address& at);
-// New connections go to the listener that joined the port next after this one, if there is one: socket(7),
-// SO_ATTACH_REUSEPORT_CBPF. Needs no rights; where the kernel has no such thing, the port stays shared.
-// False: the kernel refused it, and the port stays shared.
+// Directs new connections to the listener that joined the port next after this one, if there is one:
+// socket(7), SO_ATTACH_REUSEPORT_CBPF. Needs no privileges. False: the kernel does not support it or refused,
+// and the port stays shared.
 bool yield_port(const Fd& listener);
-bool write_all(const Fd& to, std::string_view bytes, Time by = kNever);  // false: over, or not read in time
-bool readable(const Fd& from, Time by);                                  // something has come, or the end
-void drain(const Fd& from, Time by, std::size_t most);  // reads and drops, until the end or a bound
+bool write_all(const Fd& to, std::string_view bytes,
+               Time by = kNever);                       // false: connection ended, or not read in time
+bool readable(const Fd& from, Time by);                 // bytes or the end have arrived
+void drain(const Fd& from, Time by, std::size_t most);  // discards input until the end or a bound
 void pause_until(Time at);
-// One connection out of a listener's queue, without waiting.
+// Takes one connection from a listener's queue, without waiting.
 struct Accepted {
-  // `lost`: that one had ended already, or a signal came: the next may be there. `shortage`: there is no
-  // descriptor or memory, and it stays in the queue.
+  // `lost`: the connection had ended already, or a signal interrupted; another may be queued. `shortage`: no
+  // descriptor or memory is available, and the connection stays in the queue.
   enum class How { up, none, lost, shortage };
   How how = How::none;
   Fd fd{};
 };
 Accepted try_accept(const Fd& listener);
-Fd accept_one(const Fd& listener, Time deadline);  // none: none came in time, or there was no room for it
-// poll(2), which a failure does not turn into a busy loop: nothing is ready then.
+Fd accept_one(const Fd& listener, Time deadline);  // empty: none arrived in time, or resources were short
+// poll(2) that does not become a busy loop on failure: it then reports nothing ready after a pause.
 void poll_some(pollfd* polled, std::size_t count, int milliseconds);
-// A connection that is coming up: begun without waiting, then asked how it stands.
-Fd begin_dial(const Address& to, Dial& how);  // Dial::pending: it can be written once it is up or has failed
+// Non-blocking connect: begin_dial() starts it, dial_state() returns its progress.
+Fd begin_dial(const Address& to, Dial& how);  // Dial::pending: writable once it is up or has failed
 Dial dial_state(const Fd& fd);
 
 }  // namespace reeltack::net
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -7,12 +7,12 @@
 namespace reeltack::net {
 namespace {
 
-// A peer that has said nothing for so long may be spared: usual ones send as soon as they are connected.
-constexpr Duration kShy = std::chrono::milliseconds(250);
-// While nothing is read of a peer, its close shows by no event, and is looked for so often.
-constexpr Duration kLookForClose = std::chrono::milliseconds(50);
-// Reads of what a broken connection had still brought, of some KB each.
-constexpr int kMostRest = 32;
+// A peer that has sent nothing for this long may be evicted: ordinary peers send as soon as they connect.
+constexpr Duration kFirstMessageGrace = std::chrono::milliseconds(250);
+// While a peer is not read, its close causes no event and is polled for at this interval.
+constexpr Duration kCloseCheckInterval = std::chrono::milliseconds(50);
+// Reads, of some KB each, of what a broken connection had still delivered.
+constexpr int kMaxFinalReads = 32;
 
 }  // namespace
 
@@ -28,9 +28,9 @@
 void Peer::handle_event(bool ready) {
   if (stage_ == Stage::over) return;
   if (outbox_.flush(fd_) == Outbox::Flushed::broken) {
-    const EndReason why = broken();  // before answers to the rest fail as well
+    const EndReason reason = broken();  // before answers to the remaining input fail as well
     if (stage_ == Stage::reading) read_rest();
-    if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(why);
+    if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(reason);
   }
   note_written();
   if (stage_ == Stage::reading && ready && !outbox_.congested()) read();
@@ -38,7 +38,7 @@
     read_rest();
     end_reading(EndReason::peer);
   }
-  if (stage_ == Stage::reading) keep_to_limits();
+  if (stage_ == Stage::reading) enforce_limits();
   if (stage_ == Stage::answering) answer_open();
   if (stage_ == Stage::writing) finish_writing(outbox_.flush(fd_));
   if (stage_ == Stage::draining) drain();
@@ -58,25 +58,26 @@
   if (next == Next::end) end_reading(EndReason::local);
 }
 
-// A connection that can't be written may have brought what concerns other connections: the end of a standing
-// call, say.
+// A connection that cannot be written may still have delivered messages that concern other connections, such
+// as the release of an established call.
 void Peer::read_rest() {
-  for (int reads = 0; reads < kMostRest && !evicting_; ++reads) {
+  for (int reads = 0; reads < kMaxFinalReads && !evicting_; ++reads) {
     if (buffer_.fill_now(fd_) != ReadResult::data || received() == Next::end) return;
   }
 }
 
-// Nothing more is taken from a peer that leaves its answers unread: they would pile up.
-void Peer::keep_to_limits() {
+// A peer that leaves its answers unread is not read either, as the answers would accumulate.
+void Peer::enforce_limits() {
   const Time at = now();
   patience_.crowded(outbox_.congested(), at);
-  if (closing_ == Closing::whatever_comes) return stop_reading();
+  if (closing_ == Closing::despite_input) return stop_reading();
   if (may_close()) {
-    orderly_ = drains_ = takes_after_close();
+    closed_between_messages_ = drain_input_ = takes_after_close();
     return abandon_open(EndReason::local);
   }
   auto overdue = patience_.overdue(at);
-  // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
+  // Input that arrived in time may be unread if the processor is overloaded: the peer is then neither late
+  // nor quiet.
   while (overdue && overdue != limits::PeerTimeout::unread && !outbox_.congested() && fd_.unread()) {
     read();
     if (stage_ != Stage::reading) return;
@@ -108,14 +109,14 @@
   return open_.empty() && !fd_.unread();
 }
 
-// Told anew after each turn: what it waits for, and until when.
+// Updates the watched events and the due time after each event.
 void Peer::arm() {
   const bool reads = (stage_ == Stage::reading && !outbox_.congested()) ||
-                     (stage_ == Stage::answering && !left_told_) || stage_ == Stage::draining;
+                     (stage_ == Stage::answering && !left_notified_) || stage_ == Stage::draining;
   loop_->watch(id_, fd_, reads, outbox_.blocked());
   Time at = outbox_.write_deadline();
   if (stage_ == Stage::reading) at = std::min(at, patience_.next());
-  if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kLookForClose);
+  if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kCloseCheckInterval);
   if (stage_ == Stage::draining) at = std::min(at, drained_by_);
   if (stage_ == Stage::writing || stage_ == Stage::draining) at = std::min(at, over_by());
   loop_->due(id_, at);
@@ -146,14 +147,14 @@
 }
 void Peer::established(CallId call) {
   const std::lock_guard hold(lock_);
-  if (open_.erase(call) > 0) standing_.insert(call);
+  if (open_.erase(call) > 0) established_.insert(call);
   if (outbox_.behind()) unwritten_.insert(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
 void Peer::closed(CallId call) {
   const std::lock_guard hold(lock_);
   open_.erase(call);
-  standing_.erase(call);
+  established_.erase(call);
   unwritten_.erase(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
@@ -161,14 +162,15 @@
   const std::lock_guard hold(lock_);
   return eviction_rank_locked();
 }
-// Kept is all that has a set-up open, has said what is not yet read or taken, or has not been written its
-// answer: where the processor is short, the loop may come to these late.
+// In use is any peer that has a set-up open, has sent something that is not yet read or consumed, or has an
+// answer that is not yet written: with the processor overloaded, the loop may handle these late.
 Peer::EvictionRank Peer::eviction_rank_locked() const {
   if (over_ || evicting_ || answering_ || closing_ != Closing::no || patience_.begun() || !open_.empty() ||
       outbox_.behind() || fd_.unread())
     return EvictionRank::in_use;
-  if (!patience_.served()) return heard() + kShy < now() ? EvictionRank::silent : EvictionRank::in_use;
-  return standing_.empty() ? EvictionRank::idle : EvictionRank::established;
+  if (!patience_.served())
+    return heard() + kFirstMessageGrace < now() ? EvictionRank::silent : EvictionRank::in_use;
+  return established_.empty() ? EvictionRank::idle : EvictionRank::established;
 }
 void Peer::evict() {
   const std::lock_guard hold(lock_);
@@ -182,12 +184,12 @@
 }
 void Peer::close_by(Time over_by) {
   over_by_ = over_by.time_since_epoch().count();
-  closing_ = Closing::whatever_comes;
+  closing_ = Closing::despite_input;
   loop_->wake(id_);
 }
 void Peer::whole() { patience_.whole(now()); }
 Peer::Next Peer::hang_up() {
-  drains_ = true;
+  drain_input_ = true;
   return Next::end;
 }
 
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -1,12 +1,9 @@
-// The system calls of the serving path, one thin function each.
+// Thin wrappers of the system calls that the program makes while serving, one function each.
 //
-// Owns: the list of calls by which the program meets the kernel while it serves.
-// Must never: retry, wait, keep state, or give errno a meaning: that is each caller's, as
-//   docs/design/system-calls.md lists it.
-//
-// Everything here is inline, so that a call costs what it would cost if it were written out. Tests replace
-// the functions behind it when they link (ld --wrap), and so fail any call with any errno; the check
-// .ci/system_calls refuses such calls elsewhere, so that none escapes.
+// The wrappers do not retry, wait, keep state or interpret errno: the callers do, as
+// docs/design/system-calls.md lists. They are inline and cost no more than the call itself. Tests replace the
+// wrapped functions at link time (ld --wrap) to fail any call with any errno; the check .ci/system_calls
+// refuses direct calls elsewhere, so that no call escapes those tests.
 #pragma once
 
 #include <fcntl.h>
@@ -38,7 +35,7 @@
 inline int fcntl(int fd, int command, int value = 0) { return ::fcntl(fd, command, value); }
 inline int ioctl(int fd, unsigned long request, int* value) { return ::ioctl(fd, request, value); }
 
-// Bytes. No call waits on a socket or raises SIGPIPE.
+// Input and output. No call blocks on a socket or raises SIGPIPE.
 inline ssize_t recv(int fd, void* into, std::size_t size, int flags = 0) {
   return ::recv(fd, into, size, flags | MSG_DONTWAIT);
 }
@@ -48,7 +45,7 @@
 inline ssize_t read(int fd, void* into, std::size_t size) { return ::read(fd, into, size); }
 inline ssize_t write(int fd, const void* from, std::size_t size) { return ::write(fd, from, size); }
 
-// Waits and wakes.
+// Waiting and waking.
 inline int poll(pollfd* polled, nfds_t count, int milliseconds) {
   return ::poll(polled, count, milliseconds);
 }
