--- a/src/dns/endpoints.cpp
+++ b/src/dns/endpoints.cpp
@@ -1,5 +1,5 @@
-// The endpoints that the records of a zone describe: SRV for port and capacity, A for the address, TXT for
-// the zone of its location ("place=N" on the wire).
+// Endpoints described by the records of a zone: SRV gives port and capacity, A the address, TXT the place
+// ("place=N").
 #include <algorithm>
 
 #include "dns/numbers.h"
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kPlaceKey = "place=";
 
-std::uint32_t fnv1a(std::string_view text) {  // FNV-1a: the same endpoint keeps its id after a restart
+std::uint32_t fnv1a(std::string_view text) {  // FNV-1a: an endpoint has the same id after a restart
   std::uint32_t h = 2166136261U;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 16777619U;
   return h;
@@ -42,9 +42,9 @@
     if (const RecordSet* notes = find(target, kTxt)) {
       for (const std::string& note : notes->data) {
         const std::string_view first = std::string_view(note).substr(1, read_number(note, 0, 1));
-        const auto zone =
-            first.starts_with(kPlaceKey) ? read_whole(first.substr(kPlaceKey.size()), 65535) : std::nullopt;
-        if (zone) endpoint.entry.place = static_cast<std::uint32_t>(*zone);
+        const auto place = first.starts_with(kPlaceKey) ? parse_integer(first.substr(kPlaceKey.size()), 65535)
+                                                        : std::nullopt;
+        if (place) endpoint.entry.place = static_cast<std::uint32_t>(*place);
       }
     }
     out.push_back(endpoint);
--- a/src/dns/lexer.h
+++ b/src/dns/lexer.h
@@ -1,4 +1,4 @@
-// The lexical form of a master file (RFC 1035, 5.1): entries of tokens, comments, quotes and parentheses.
+// Lexical form of a master file (RFC 1035, 5.1): entries of tokens, comments, quotes and parentheses.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace reeltack::dns {
 
-// A master file that cannot be read; names file and line.
+// A malformed master file; the message begins with file and line.
 class ZoneError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -22,14 +22,14 @@
   bool quoted = false;
 };
 
-// One entry of a master file: its tokens, the line that it began on, whether the owner was left out.
+// One entry of a master file: its tokens, its first line, and whether the owner was omitted.
 struct Entry {
   std::vector<Token> tokens;
   int line = 0;
   bool blank_owner = false;
 };
 
-// Cuts the text of a master file into entries. The text must outlive it.
+// Splits the text of a master file into entries. The text must outlive the lexer.
 class Lexer {
  public:
   Lexer(std::string_view text, std::string file) : text_(text), file_(std::move(file)) {}
--- a/src/dns/master_file.cpp
+++ b/src/dns/master_file.cpp
@@ -1,4 +1,4 @@
-// Reading a zone from a master file (RFC 1035, 5).
+// Parser of master files (RFC 1035, 5).
 #include <arpa/inet.h>
 
 #include <algorithm>
@@ -18,14 +18,14 @@
   return text;
 }
 
-// The data of a record from the tokens of its entry from `first` on, as on the wire.
-std::string data_of(const Lexer& lexer, const Entry& entry, std::size_t first, std::uint16_t type,
-                    const std::string& origin) {
+// Wire form of the record data in the tokens of an entry from `first` on.
+std::string encode_data(const Lexer& lexer, const Entry& entry, std::size_t first, std::uint16_t type,
+                        const std::string& origin) {
   const auto fail = [&](const std::string& what) { lexer.fail(entry.line, what); };
-  const std::size_t given = entry.tokens.size() - first;
-  const std::size_t wanted = type == kSoa ? 7 : type == kSrv ? 4 : 1;
-  if (type == kTxt ? given < 1 : given != wanted)
-    fail("has " + std::to_string(given) + " fields of data, not " + std::to_string(wanted));
+  const std::size_t actual = entry.tokens.size() - first;
+  const std::size_t expected = type == kSoa ? 7 : type == kSrv ? 4 : 1;
+  if (type == kTxt ? actual < 1 : actual != expected)
+    fail("has " + std::to_string(actual) + " fields of data, not " + std::to_string(expected));
   std::string out;
   const auto token = [&](std::size_t i) { return entry.tokens[first + i].text; };
   const auto name = [&](std::size_t i) {
@@ -42,7 +42,7 @@
     }
     case kSrv:
       for (std::size_t i = 0; i < 3; ++i) {
-        const auto n = read_whole(token(i), 65535);
+        const auto n = parse_integer(token(i), 65535);
         if (!n) fail("malformed number '" + token(i) + "' (0 to 65535)");
         append16(out, *n);
       }
@@ -52,13 +52,13 @@
       name(0);
       name(1);
       for (std::size_t i = 2; i < 7; ++i) {
-        const auto n = i == 2 ? read_whole(token(i), 0xffffffff) : seconds_of(token(i));
+        const auto n = i == 2 ? parse_integer(token(i), 0xffffffff) : parse_seconds(token(i));
         if (!n) fail("malformed number '" + token(i) + "'");
         append32(out, *n);
       }
       break;
     case kTxt:
-      for (std::size_t i = 0; i < given; ++i) {
+      for (std::size_t i = 0; i < actual; ++i) {
         if (token(i).size() > 255) fail("a string of over 255 bytes");
         out += static_cast<char>(token(i).size());
         out += token(i);
@@ -70,10 +70,10 @@
   return out;
 }
 
-// Reads a zone entry by entry, with the origin, owner and TTL that an entry leaves to those before it.
-class Reader {
+// Reads a zone entry by entry, with the origin, owner and TTL that an entry inherits from earlier ones.
+class ZoneParser {
  public:
-  Reader(const std::string& text, const std::string& file) : file_(file), lexer_(text, file) {}
+  ZoneParser(const std::string& text, const std::string& file) : file_(file), lexer_(text, file) {}
 
   Zone read() {
     while (const std::optional<Entry> entry = lexer_.next()) {
@@ -91,11 +91,11 @@
   }
 
  private:
-  // Of an entry, behind its owner: TTL and class in either order, and the type.
+  // The fields of an entry after its owner: TTL and class in either order, and the type.
   struct Kind {
     std::uint16_t type = 0;
     std::uint32_t ttl = 0;
-    std::size_t data_at = 0;  // the token that the data begin with
+    std::size_t data_at = 0;  // index of the first data token
   };
 
   void read_directive(const Entry& entry) {
@@ -103,7 +103,7 @@
     if (entry.tokens.size() != 2) lexer_.fail(entry.line, directive + " takes one value");
     const std::string& value = entry.tokens[1].text;
     if (directive == "$TTL") {
-      ttl_ = seconds_of(value);
+      ttl_ = parse_seconds(value);
       if (!ttl_) lexer_.fail(entry.line, "malformed time '" + value + "'");
       return;
     }
@@ -136,7 +136,7 @@
       }
       if (keyword == "IN") continue;
       if (keyword == "CH" || keyword == "HS") lexer_.fail(entry.line, "class " + keyword + " is not served");
-      ttl = seconds_of(text);
+      ttl = parse_seconds(text);
       if (!ttl) lexer_.fail(entry.line, "unknown type '" + text + "'");
     }
     if (out.type == 0) lexer_.fail(entry.line, "the record has no type");
@@ -150,7 +150,7 @@
   void read_record(const Entry& entry) {
     read_owner(entry);
     const Kind kind = read_kind(entry);
-    const std::string data = data_of(lexer_, entry, kind.data_at, kind.type, origin_);
+    const std::string data = encode_data(lexer_, entry, kind.data_at, kind.type, origin_);
     if (!zone_) {
       if (kind.type != kSoa) lexer_.fail(entry.line, "the first record must be the zone's SOA");
       zone_.emplace(owner_);
@@ -167,7 +167,7 @@
 
   const std::string file_;
   Lexer lexer_;
-  std::optional<Zone> zone_;  // from the SOA on
+  std::optional<Zone> zone_;  // set once the SOA is read
   std::string origin_ = ".";
   std::string owner_;
   std::optional<std::uint64_t> ttl_;
@@ -175,6 +175,6 @@
 
 }  // namespace
 
-Zone Zone::read(const std::string& text, const std::string& file) { return Reader(text, file).read(); }
+Zone Zone::read(const std::string& text, const std::string& file) { return ZoneParser(text, file).read(); }
 
 }  // namespace reeltack::dns
--- a/src/dns/name.cpp
+++ b/src/dns/name.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr std::size_t kMostName = 254;  // RFC 1035, 2.3.4: 255 bytes on the wire
-constexpr std::size_t kMostLabel = 63;
-constexpr int kMostSteps = 128;  // labels and pointers of one name: a loop of pointers must end
+constexpr std::size_t kMaxName = 254;  // RFC 1035, 2.3.4: 255 bytes on the wire
+constexpr std::size_t kMaxLabel = 63;
+constexpr int kMaxSteps = 128;  // labels and pointers of one name; bounds a loop of pointers
 
 }  // namespace
 
@@ -20,14 +20,14 @@
     out = text;
     if (!out.empty() && out.back() != '.') out += origin == "." ? "." : "." + std::string(origin);
   }
-  if (out.empty() || out.back() != '.' || out.size() > kMostName) return std::nullopt;
+  if (out.empty() || out.back() != '.' || out.size() > kMaxName) return std::nullopt;
   std::size_t start = 0;
   for (std::size_t i = 0; i < out.size(); ++i) {
     if (out[i] >= 'A' && out[i] <= 'Z') out[i] = static_cast<char>(out[i] + 32);
     const char c = out[i];
     const bool letter = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '*';
     if (c == '.') {
-      if (i == start || i - start > kMostLabel) return std::nullopt;
+      if (i == start || i - start > kMaxLabel) return std::nullopt;
       start = i + 1;
     } else if (!letter) {
       return std::nullopt;
@@ -51,7 +51,7 @@
   std::string out;
   std::size_t here = at;
   bool jumped = false;
-  for (int steps = 0; steps < kMostSteps; ++steps) {
+  for (int steps = 0; steps < kMaxSteps; ++steps) {
     if (here >= message.size()) return std::nullopt;
     const std::size_t n = static_cast<unsigned char>(message[here]);
     if ((n & 0xc0U) == 0xc0U) {
--- a/src/dns/numbers.h
+++ b/src/dns/numbers.h
@@ -1,4 +1,4 @@
-// Numbers as the wire and the master file write them; for the files of this module alone.
+// Numbers in wire and master file form. Internal to this module.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
 void append32(std::string& out, std::uint64_t value);
 // Up to four bytes at `at`, most significant first.
 std::uint32_t read_number(std::string_view data, std::size_t at, std::size_t bytes);
-// Digits alone; nothing: anything else, or above `most`.
-std::optional<std::uint64_t> read_whole(std::string_view text, std::uint64_t most);
-// A time in seconds, of plain digits (RFC 1035) or with the common unit letters: "1h30m". Nothing: malformed,
-// or above what a TTL may be (RFC 2181, 8).
-std::optional<std::uint64_t> seconds_of(std::string_view text);
+// Decimal digits only; nothing: anything else, or above `max`.
+std::optional<std::uint64_t> parse_integer(std::string_view text, std::uint64_t max);
+// A time in seconds, as plain digits (RFC 1035) or with the common unit letters: "1h30m". Nothing: malformed,
+// or above the maximum TTL (RFC 2181, 8).
+std::optional<std::uint64_t> parse_seconds(std::string_view text);
 
 }  // namespace reeltack::dns
--- a/src/dns/update_message.h
+++ b/src/dns/update_message.h
@@ -1,7 +1,5 @@
-// One dynamic update (RFC 2136), from its message to the zone.
-//
-// Owns: the reading of the message, its checks in the order of the RFC, and what it makes of the zone.
-// Must never: touch a socket or the zone's file, or leave half an update in the zone.
+// One dynamic update (RFC 2136): parses the message, makes the checks in the order of the RFC, and applies
+// the update to the zone completely or not at all. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +9,7 @@
 
 namespace reeltack::dns {
 
-constexpr std::size_t kHeaderBytes = 12;  // RFC 1035, 4.1.1; a shorter message is none
+constexpr std::size_t kHeaderBytes = 12;  // RFC 1035, 4.1.1; a shorter message is malformed
 
 // RFC 2136, 2.2: response codes.
 enum Rcode {
@@ -28,7 +26,7 @@
   kNotZone = 10
 };
 
-// Carries out one update on the zone; unless the code is kNoError the zone is as it was.
+// Applies one update to the zone and returns the response code; unless it is kNoError, the zone is unchanged.
 int apply_update(Zone& zone, std::string_view message, bool& changed);
 
 }  // namespace reeltack::dns
--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -9,15 +9,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kIdle = 30s;
-constexpr auto kFirstReminder = 1min;  // of a file that still cannot be written
+constexpr Duration kIdleTimeout = 30s;
+constexpr auto kFirstReminder = 1min;  // log intervals while the file cannot be written
 constexpr auto kLastReminder = 1h;
 
 }  // namespace
 
-class UpdatePeer final : public net::Peer {
+class UpdateConnection final : public net::Peer {
  public:
-  UpdatePeer(UpdateServer& updates, net::Fd fd) : net::Peer(std::move(fd), kIdle), updates_(updates) {}
+  UpdateConnection(UpdateServer& updates, net::Fd fd)
+      : net::Peer(std::move(fd), kIdleTimeout), updates_(updates) {}
 
  protected:
   Next received() override {
@@ -47,9 +48,9 @@
       file_(std::move(file)),
       outage_(kFirstReminder, kLastReminder),
       zone_(std::move(zone)),
-      door_(16, [this](net::Fd fd) { return std::make_shared<UpdatePeer>(*this, std::move(fd)); }) {
+      listener_(16, [this](net::Fd fd) { return std::make_shared<UpdateConnection>(*this, std::move(fd)); }) {
   const std::lock_guard hold(lock_);
-  tell();
+  publish();
 }
 
 std::string UpdateServer::answer(std::string_view message) {
@@ -57,57 +58,57 @@
   const std::uint32_t opcode = flags >> 11U & 15U;
   int code = kNotImp;
   if ((flags & 0x8000U) != 0) {
-    code = kFormErr;  // an answer is no request
+    code = kFormErr;  // a response, not a request
   } else if (opcode == 5) {
     const std::lock_guard hold(lock_);
     Zone next = zone_;
     bool changed = false;
     code = apply_update(next, message, changed);
-    // RFC 2136, 3.5: what is confirmed must be kept first.
-    if (changed && !keep(next)) {
+    // RFC 2136, 3.5: an update must be stored before it is confirmed.
+    if (changed && !store(next)) {
       code = kServFail;
     } else if (changed) {
       zone_ = std::move(next);
-      tell();
+      publish();
     }
   }
   std::string out(message.substr(0, 2));
   const std::uint32_t answered = 0x8000U | opcode << 11U | static_cast<std::uint32_t>(code);
   out += static_cast<char>(answered >> 8U);
   out += static_cast<char>(answered);
-  return out.append(8, '\0');  // no section is carried back
+  return out.append(8, '\0');  // the answer carries no sections
 }
 
-// With the lock held. What the zone names no more is told as draining; it is never simply dropped.
-void UpdateServer::tell() {
+// Requires the lock. An endpoint that left the zone is listed as draining, never just omitted.
+void UpdateServer::publish() {
   std::vector<std::string> missing;
   std::vector<core::OfficeEntry> now = zone_.offices(service_, &missing);
   for (const std::string& target : missing)
     net::log_line("zone: " + target + " has no address and is left out");
   std::vector<core::OfficeEntry> changes = now;
-  for (auto& [id, entry] : told_) {
-    const bool kept = std::any_of(now.begin(), now.end(),
-                                  [id = id](const core::OfficeEntry& o) { return o.entry.server == id; });
-    if (kept) continue;
+  for (auto& [id, entry] : published_) {
+    const bool found = std::any_of(now.begin(), now.end(),
+                                   [id = id](const core::OfficeEntry& o) { return o.entry.server == id; });
+    if (found) continue;
     entry.entry.state = ServerState::draining;
     changes.push_back(entry);
   }
-  for (const core::OfficeEntry& office : changes) told_[office.entry.server] = office;
+  for (const core::OfficeEntry& office : changes) published_[office.entry.server] = office;
   list_.told(core::Source::zone, false, std::move(changes));
 }
 
-// With the lock held. An outage is logged at its beginning, while it lasts, and at its end.
-bool UpdateServer::keep(const Zone& zone) {
+// Requires the lock. An outage is logged when it begins, at intervals while it lasts, and when it ends.
+bool UpdateServer::store(const Zone& zone) {
   if (file_.empty()) return true;
   std::string reason;
-  const bool kept = base::replace_file(file_, zone.text(), reason);
+  const bool stored = base::replace_file(file_, zone.text(), reason);
   const auto now = std::chrono::steady_clock::now();
   const auto lasted = [&] {
     return std::to_string(
                std::chrono::duration_cast<std::chrono::milliseconds>(outage_.lasted(now)).count()) +
            " ms, " + std::to_string(outage_.failures()) + " updates refused";
   };
-  if (kept) {
+  if (stored) {
     if (outage_.on()) net::log_line("zone: " + file_ + " is written again after " + lasted());
     outage_.ended();
     return true;
--- a/src/dns/updates.h
+++ b/src/dns/updates.h
@@ -1,10 +1,11 @@
-// Dynamic updates (RFC 2136) over TCP, to the one zone that is served.
+// Server of dynamic updates (RFC 2136) over TCP, for the one zone that is served.
 //
-// Owns: the zone once it is loaded, each update as a whole or not at all, the zone's file, and what the
-//   endpoint list hears of it. An endpoint that leaves the zone drains. An update is confirmed once the
-//   zone's file is durable, and refused (SERVFAIL) where it cannot be written; the zone goes on as it was.
-//   How one update is read and carried out: dns/update_message.h.
-// Must never: answer queries, take half an update, or take one from another machine.
+// Holds the zone once it is loaded, applies each update completely or not at all, writes the zone's file, and
+// publishes the zone's endpoints to the office list. An endpoint that is removed from the zone is listed as
+// draining. An update is confirmed once the zone's file is durable, and refused (SERVFAIL) if the file cannot
+// be written; the zone then stays as it was. Queries are not answered. Updates carry no signature, so the
+// address that open() is given must accept connections of this host only. One update is applied by
+// dns/update_message.h.
 #pragma once
 
 #include "base/outage.h"
@@ -18,23 +19,23 @@
 
 class UpdateServer {
  public:
-  // The zone's endpoints are notified at once. `file`: where changes are kept; empty: nowhere.
+  // Publishes the zone's endpoints at once. `file`: where changes are stored; empty: nowhere.
   UpdateServer(core::OfficeList& list, Zone zone, std::string service, std::string file);
-  void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
-  void close_all() { door_.close_all(); }
-  std::string answer(std::string_view message);  // a whole message in, its answer out
+  void open(const net::Address& at) { listener_.open(at); }  // throws std::runtime_error
+  void close_all() { listener_.close_all(); }
+  std::string answer(std::string_view message);  // returns the answer to one complete message
 
  private:
-  void tell();
-  bool keep(const Zone& zone);
+  void publish();
+  bool store(const Zone& zone);
   core::OfficeList& list_;
   const std::string service_;
   const std::string file_;
   std::mutex lock_;
-  base::Outage outage_;  // of the zone's file
+  base::Outage outage_;  // of writing the zone's file
   Zone zone_;
-  std::map<ServerId, core::OfficeEntry> told_;
-  net::ConnectionListener door_;
+  std::map<ServerId, core::OfficeEntry> published_;
+  net::ConnectionListener listener_;
 };
 
 }  // namespace reeltack::dns
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -43,7 +43,7 @@
 
 void Zone::add(const std::string& name, std::uint16_t type, std::uint32_t ttl, const std::string& data) {
   RecordSet& set = names_[name][type];
-  if (type == kSoa || type == kCname) set.data.clear();  // only one of these can be
+  if (type == kSoa || type == kCname) set.data.clear();  // at most one of these may exist
   set.ttl = ttl;
   set.data.insert(data);
 }
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -1,7 +1,6 @@
-// A DNS zone: read from a master file (RFC 1035), kept in memory, written back, and read as endpoints.
-//
-// Owns: names and their record sets; which SRV, A and TXT records make an endpoint.
-// Must never: take a malformed record, or look a name up anywhere else.
+// A DNS zone: parsed from a master file (RFC 1035), held in memory, written back, and interpreted as a list
+// of endpoints by its SRV, A and TXT records. Malformed records are rejected. Names are looked up in the zone
+// only. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +15,14 @@
 
 namespace reeltack::dns {
 
-// Names and their records, in memory. Threads: one at a time.
+// Names and their records.
 class Zone {
  public:
-  // An empty zone, which needs its SOA record before anything else is asked of it.
+  // An empty zone. Its SOA record must be added before any other function is called.
   explicit Zone(std::string origin);
-  // The zone of a master file; `file` names it in errors. Throws ZoneError.
+  // Parses a master file; `file` is its name in errors. Throws ZoneError.
   static Zone read(const std::string& text, const std::string& file);
-  // As a master file, the SOA first.
+  // The zone as a master file, the SOA first.
   [[nodiscard]] std::string text() const;
 
   [[nodiscard]] const std::string& origin() const { return origin_; }
@@ -35,8 +34,8 @@
   [[nodiscard]] std::uint32_t serial() const;
   void raise_serial();  // by one, past 0 (RFC 1982)
 
-  // The endpoints that the SRV records of `service` name. A target without an address here is left out and
-  // goes to `missing`.
+  // The endpoints named by the SRV records of `service`. A target without an A record in the zone is omitted
+  // and appended to `missing`.
   [[nodiscard]] std::vector<core::OfficeEntry> offices(const std::string& service,
                                                        std::vector<std::string>* missing = nullptr) const;
 
--- a/tests/dns/zone_test.cpp
+++ b/tests/dns/zone_test.cpp
@@ -1,4 +1,4 @@
-// Zone files and dynamic updates: what is taken, what is refused, and what the refusal names.
+// Zone files and dynamic updates: what is accepted, what is rejected, and which file and line errors name.
 #include "dns/zone.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
       TXT "place=4" "x;y"
 )";
 
-TEST(ZoneFile, NamesOffices) {
+TEST(ZoneFile, DescribesOffices) {
   const dns::Zone zone = dns::Zone::read(kZone, "z");
   const auto offices = zone.offices("_c._tcp.t.example.");
   ASSERT_EQ(offices.size(), 2U);
@@ -32,7 +32,7 @@
   EXPECT_EQ(dns::Zone::read(zone.text(), "again").text(), zone.text());
 }
 
-TEST(ZoneFile, MalformedRecordIsRefusedWithFileAndLine) {
+TEST(ZoneFile, MalformedRecordIsRejectedWithFileAndLine) {
   const std::string head = "$ORIGIN t.\n$TTL 1\n@ SOA a. b. 1 1 1 1 1\n";
   const std::pair<const char*, const char*> cases[] = {{"x A 1.2.3\n", "z:4:"},
                                                        {"x A\n", "z:4:"},
@@ -50,7 +50,7 @@
   for (const auto& [text, place] : cases) {
     try {
       dns::Zone::read(head + text, "z");
-      ADD_FAILURE() << "taken: " << text;
+      ADD_FAILURE() << "accepted: " << text;
     } catch (const dns::ZoneError& error) {
       EXPECT_EQ(std::string(error.what()).substr(0, 4), place) << text << error.what();
     }
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(DynamicUpdate, KeepsTheApexAndTakesAllOrNothing) {
+TEST(DynamicUpdate, ProtectsTheApexAndAppliesAllOrNothing) {
   dns::Zone zone = dns::Zone::read(kZone, "z");
   bool changed = false;
   const std::string ns = dns::name_to_wire("ns.t.example.");
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -1,4 +1,4 @@
-// The event loop: what turns come, and what they cost in calls of the system.
+// Event loop: which events are delivered, and how many system calls they cost.
 #include "net/loop.h"
 
 #include <gtest/gtest.h>
@@ -12,32 +12,32 @@
 
 using namespace std::chrono_literals;
 
-// A thing on a loop that notes its turns, and does in each what it is told to, on the loop's thread.
-class Noted final : public net::EventHandler {
+// Counts its events and runs the given action in each, on the loop's thread.
+class RecordingHandler final : public net::EventHandler {
  public:
-  using Does = std::function<void(int turn, bool ready)>;
-  explicit Noted(Does does = {}) : does_(std::move(does)) {}
+  using Action = std::function<void(int event, bool ready)>;
+  explicit RecordingHandler(Action action = {}) : action_(std::move(action)) {}
   void handle_event(bool ready) override {
     const std::lock_guard hold(lock_);
-    ++turns_;
-    if (does_) does_(turns_, ready);
+    ++events_;
+    if (action_) action_(events_, ready);
     changed_.notify_all();
   }
   bool await(int n) {
     std::unique_lock hold(lock_);
-    return changed_.wait_for(hold, 20s, [&] { return turns_ >= n; });
+    return changed_.wait_for(hold, 20s, [&] { return events_ >= n; });
   }
-  int turns() {
+  int events() {
     const std::lock_guard hold(lock_);
-    return turns_;
+    return events_;
   }
   net::Loop::Id id = 0;
 
  private:
-  const Does does_;
+  const Action action_;
   std::mutex lock_;
   std::condition_variable changed_;
-  int turns_ = 0;
+  int events_ = 0;
 };
 
 struct Pair {
@@ -50,60 +50,60 @@
   net::Fd near, far;
 };
 
-TEST(Loop, TurnsForDescriptorsWakesAndTimesAndNotAfterRemoval) {
+TEST(Loop, EventsForDescriptorsWakesAndTimesButNotAfterRemoval) {
   net::Loop loop;
   const Pair pair;
   Time by{};
-  const auto noted = std::make_shared<Noted>([&](int turn, bool ready) {
-    EXPECT_EQ(ready, turn == 4);
-    if (turn == 2) loop.due(1, by = net::now() + 10ms);
-    if (turn == 3) {
+  const auto handler = std::make_shared<RecordingHandler>([&](int event, bool ready) {
+    EXPECT_EQ(ready, event == 4);
+    if (event == 2) loop.due(1, by = net::now() + 10ms);
+    if (event == 3) {
       EXPECT_GE(net::now(), by);
       EXPECT_TRUE(loop.watch(1, pair.near, true, false));
       EXPECT_TRUE(net::write_all(pair.far, "x"));
     }
-    if (turn != 4) return;
+    if (event != 4) return;
     loop.unwatch(pair.near);
     loop.due(1, net::now() + 1ms);
     loop.remove(1);
     loop.wake(1);
   });
-  ASSERT_EQ(loop.add(noted), 1U);
+  ASSERT_EQ(loop.add(handler), 1U);
   loop.start();
-  ASSERT_TRUE(noted->await(1));  // told once that it is there
+  ASSERT_TRUE(handler->await(1));  // add() wakes it once
   loop.wake(1);
-  ASSERT_TRUE(noted->await(4));
-  const auto last = std::make_shared<Noted>([&](int turn, bool) {
-    if (turn == 1) loop.due(2, net::now() + 20ms);
+  ASSERT_TRUE(handler->await(4));
+  const auto last = std::make_shared<RecordingHandler>([&](int event, bool) {
+    if (event == 1) loop.due(2, net::now() + 20ms);
   });
   loop.add(last);
-  ASSERT_TRUE(last->await(2));  // by now the removed one's time has passed
+  ASSERT_TRUE(last->await(2));  // by now the due time of the removed handler has passed
   loop.stop();
-  EXPECT_EQ(noted->turns(), 4);
-  EXPECT_EQ(noted.use_count(), 1);
+  EXPECT_EQ(handler->events(), 4);
+  EXPECT_EQ(handler.use_count(), 1);
 }
 
-// Before it has begun it sleeps, as far as others can tell.
-TEST(Loop, BellIsRungOnceForAllThatComesInASleepAndNeverWhileAwake) {
+// Until it is started, the loop counts as waiting.
+TEST(Loop, BellIsRungOncePerWaitAndNeverWhileRunning) {
   net::Loop loop;
-  const auto other = std::make_shared<Noted>();
-  const auto noted = std::make_shared<Noted>([&](int turn, bool) {
-    for (int i = 0; turn == 1 && i < 100; ++i) loop.wake(i % 2 == 0 ? 1 : 2);
+  const auto other = std::make_shared<RecordingHandler>();
+  const auto handler = std::make_shared<RecordingHandler>([&](int event, bool) {
+    for (int i = 0; event == 1 && i < 100; ++i) loop.wake(i % 2 == 0 ? 1 : 2);
   });
-  loop.add(noted);
+  loop.add(handler);
   loop.add(other);
   for (int i = 0; i < 100; ++i) loop.wake(i % 2 == 0 ? 1 : 2);
   EXPECT_EQ(loop.counts().rings, 1U);
   loop.start();
-  ASSERT_TRUE(noted->await(2));
+  ASSERT_TRUE(handler->await(2));
   ASSERT_TRUE(other->await(2));
   EXPECT_EQ(loop.counts().rings, 1U);
   loop.stop();
-  EXPECT_EQ(noted->turns(), 2);  // one turn for all the wakes of a sleep, one for all those of a pass
-  EXPECT_EQ(other->turns(), 2);
+  EXPECT_EQ(handler->events(), 2);  // one event for all wakes during a wait, one for all those during a pass
+  EXPECT_EQ(other->events(), 2);
 }
 
-TEST(Loop, UnchangedInterestAsksNothingOfTheKernel) {
+TEST(Loop, UnchangedInterestMakesNoSystemCall) {
   net::Loop loop;
   const std::uint64_t own = loop.counts().controls;
   const auto controls = [&] { return loop.counts().controls - own; };
@@ -119,39 +119,39 @@
     loop.unwatch(pair.near);
     EXPECT_EQ(controls(), 3U);
   }
-  // Another descriptor under the same number is told to the kernel anew.
+  // Another descriptor with the same number is registered again.
   const Pair again;
   ASSERT_EQ(again.near.get(), number);
-  const auto noted = std::make_shared<Noted>();
-  ASSERT_EQ(loop.add(noted), 1U);
+  const auto handler = std::make_shared<RecordingHandler>();
+  ASSERT_EQ(loop.add(handler), 1U);
   ASSERT_TRUE(loop.watch(1, again.near, true, false));
   EXPECT_EQ(controls(), 4U);
   loop.start();
-  ASSERT_TRUE(noted->await(1));
-  const int before = noted->turns();
+  ASSERT_TRUE(handler->await(1));
+  const int before = handler->events();
   ASSERT_TRUE(net::write_all(again.far, "x"));
-  ASSERT_TRUE(noted->await(before + 1));
+  ASSERT_TRUE(handler->await(before + 1));
   loop.stop();
 }
 
-// Moving a time to later costs nothing: the first turn still comes, and so does the later one.
-TEST(Loop, TurnComesAtTheEarliestTimeToldAndAtTheLast) {
+// Moving a due time to later costs nothing: the first event still comes, and so does the later one.
+TEST(Loop, EventComesAtTheEarliestDueTimeAndAtTheLatest) {
   net::Loop loop;
   Time first{}, last{};
-  const auto noted = std::make_shared<Noted>([&](int turn, bool) {
-    if (turn == 1) {
+  const auto handler = std::make_shared<RecordingHandler>([&](int event, bool) {
+    if (event == 1) {
       last = net::now() + 60ms;
       first = last - 40ms;
       EXPECT_EQ(loop.due(1, last), last);
       EXPECT_EQ(loop.due(1, first), first);
       EXPECT_EQ(loop.due(1, last), first);
     }
-    if (turn == 2) EXPECT_GE(net::now(), first);
-    if (turn == 3) EXPECT_GE(net::now(), last);
+    if (event == 2) EXPECT_GE(net::now(), first);
+    if (event == 3) EXPECT_GE(net::now(), last);
   });
-  ASSERT_EQ(loop.add(noted), 1U);
+  ASSERT_EQ(loop.add(handler), 1U);
   loop.start();
-  ASSERT_TRUE(noted->await(3));
+  ASSERT_TRUE(handler->await(3));
   loop.stop();
 }
 
