--- a/src/platform/bulletin.cpp
+++ b/src/platform/bulletin.cpp
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kRecord = 27;
-// While a connection comes up it is looked at so often, first and at most.
-constexpr Duration kFirstLook = 1ms;
-constexpr Duration kLook = 10ms;
-constexpr Duration kLookAtSlow = 25ms;  // the silent connection, beside the one in use
+constexpr std::size_t kRecordBytes = 27;
+// Poll interval of a pending dial: the first, doubled up to the maximum.
+constexpr Duration kFirstDialPoll = 1ms;
+constexpr Duration kMaxDialPoll = 10ms;
+constexpr Duration kSlowPoll = 25ms;  // interval at which the silent connection is polled
 
 core::OfficeEntry read_record(std::string_view r) {
   core::OfficeEntry out;
@@ -43,17 +43,17 @@
   out.number = net::big_endian(text, 4, 8);
   out.kind = static_cast<int>(net::big_endian(text, 12, 1));
   const std::string_view payload = text.substr(13, length - 9);
-  if (out.kind > 2 || payload.size() % kRecord != 0 || (out.kind == 0 && !payload.empty()))
+  if (out.kind > 2 || payload.size() % kRecordBytes != 0 || (out.kind == 0 && !payload.empty()))
     throw std::runtime_error("a malformed frame");
-  for (std::size_t at = 0; at < payload.size(); at += kRecord)
-    out.offices.push_back(read_record(payload.substr(at, kRecord)));
+  for (std::size_t at = 0; at < payload.size(); at += kRecordBytes)
+    out.offices.push_back(read_record(payload.substr(at, kRecordBytes)));
   used = 4 + length;
   return out;
 }
 
 Bulletin::Bulletin(core::OfficeList& list, net::Address at, std::uint64_t last,
                    membership::WatchBackoffSettings settings)
-    : list_(list), last_(last), pacing_(settings), at_(std::move(at)), thread_([this] { run(); }) {}
+    : list_(list), last_(last), backoff_(settings), at_(std::move(at)), thread_([this] { run(); }) {}
 
 Bulletin::~Bulletin() {
   {
@@ -75,13 +75,13 @@
 }
 
 void Bulletin::run() {
-  list_.numbered(last_);  // what the configuration held
+  list_.numbered(last_);  // the number stored with the configuration
   for (;;) {
     net::Address to;
     {
       const std::lock_guard hold(lock_);
       if (stopping_) return;
-      if (moved_) slow_.reset();  // the old one must not be followed
+      if (moved_) slow_.reset();  // the old address must not be followed
       moved_ = false;
       to = at_;
     }
@@ -92,113 +92,114 @@
       if (moved_) continue;
       current_ = std::move(fresh);
     }
-    const Ended how = current_ ? follow() : Ended::closed;
+    const FollowEnd how = current_ ? follow() : FollowEnd::closed;
     list_.live(false);
-    pacing_.failed();
+    backoff_.failed();
     std::unique_lock hold(lock_);
-    // It may be slow and not dead: the oldest one is kept until it speaks, or has had its time.
-    if (how == Ended::silent && !slow_) {
+    // It may be slow and not dead: the oldest one is held until it delivers a frame or its time is up.
+    if (how == FollowEnd::silent && !slow_) {
       slow_ = current_;
-      slow_until_ = net::now() + pacing_.settings().slow;
+      slow_deadline_ = net::now() + backoff_.settings().slow;
     }
     current_.reset();
-    changed_.wait_for(hold, pacing_.pause(uniform_(random_)), [this] { return stopping_ || moved_; });
+    changed_.wait_for(hold, backoff_.pause(uniform_(random_)), [this] { return stopping_ || moved_; });
   }
 }
 
-// Nothing: it has not come up, or there is nothing to wait for any more.
+// Null: the connection was not established, or the client is stopping or was moved.
 std::shared_ptr<Bulletin::Connection> Bulletin::connect(const net::Address& to) {
   net::Dial how = net::Dial::failed;
   auto fresh = std::make_shared<Connection>();
   fresh->fd = net::begin_dial(to, how);
-  const Time by = net::now() + pacing_.connect_timeout();
-  for (Duration look = kFirstLook; how == net::Dial::pending; look = std::min(2 * look, kLook)) {
+  const Time by = net::now() + backoff_.connect_timeout();
+  for (Duration poll_interval = kFirstDialPoll; how == net::Dial::pending;
+       poll_interval = std::min(2 * poll_interval, kMaxDialPoll)) {
     {
       std::unique_lock hold(lock_);
-      if (changed_.wait_for(hold, look, [this] { return stopping_ || moved_; })) return nullptr;
+      if (changed_.wait_for(hold, poll_interval, [this] { return stopping_ || moved_; })) return nullptr;
     }
-    if (slow_speaks()) return std::exchange(slow_, nullptr);
+    if (slow_has_frame()) return std::exchange(slow_, nullptr);
     how = net::dial_state(fresh->fd);
     if (how == net::Dial::pending && net::now() >= by) {
-      pacing_.connect_timed_out();
+      backoff_.connect_timed_out();
       return nullptr;
     }
   }
   if (how != net::Dial::up) return nullptr;
-  pacing_.connect_succeeded();
+  backoff_.connect_succeeded();
   std::string greeting;
   for (int shift = 56; shift >= 0; shift -= 8)
     greeting += static_cast<char>(last_ >> static_cast<unsigned>(shift));
   return net::write_all(fresh->fd, greeting) ? fresh : nullptr;
 }
 
-// The silent connection holds a whole frame by now. It is let go once it has ended or its time is over.
-bool Bulletin::slow_speaks() {
+// Whether the silent connection has delivered a complete frame. It is dropped once it ends or its time is up.
+bool Bulletin::slow_has_frame() {
   if (!slow_) return false;
   std::size_t used = 0;
   try {
     const net::ReadResult got = slow_->buffer.fill_now(slow_->fd);
     if (parse_frame(slow_->buffer.view(), used)) return true;
-    if (got != net::ReadResult::closed && net::now() < slow_until_) return false;
+    if (got != net::ReadResult::closed && net::now() < slow_deadline_) return false;
   } catch (const std::runtime_error& error) {
-    net::log_line(std::string("bulletin: ") + error.what() + "; it was slow, and is let go");
+    net::log_line(std::string("bulletin: ") + error.what() + "; dropping the slow connection");
   }
   slow_.reset();
   return false;
 }
 
-void Bulletin::follow_slow() {
+void Bulletin::switch_to_slow() {
   const std::lock_guard hold(lock_);
   current_ = std::exchange(slow_, nullptr);
   if (stopping_ || moved_) current_->fd.shut();
 }
 
-Bulletin::Ended Bulletin::follow() {
-  Time silent = net::now() + pacing_.settings().silence;
+Bulletin::FollowEnd Bulletin::follow() {
+  Time silent = net::now() + backoff_.settings().silence;
   try {
     for (;;) {
       std::size_t used = 0;
       std::optional<Frame> frame = parse_frame(current_->buffer.view(), used);
       if (frame) {
         current_->buffer.take(used);
-        silent = net::now() + pacing_.settings().silence;
-        pacing_.heard();
+        silent = net::now() + backoff_.settings().silence;
+        backoff_.heard();
         slow_.reset();
-        if (!take(*frame)) return Ended::closed;
+        if (!take(*frame)) return FollowEnd::closed;
         continue;
       }
-      if (slow_speaks()) {
-        follow_slow();
+      if (slow_has_frame()) {
+        switch_to_slow();
         continue;
       }
-      const Time by = slow_ ? std::min(silent, net::now() + kLookAtSlow) : silent;
+      const Time by = slow_ ? std::min(silent, net::now() + kSlowPoll) : silent;
       const net::ReadResult got = current_->buffer.fill(current_->fd, by);
-      if (got == net::ReadResult::closed) return Ended::closed;
-      if (got == net::ReadResult::no_data && net::now() >= silent) return Ended::silent;
+      if (got == net::ReadResult::closed) return FollowEnd::closed;
+      if (got == net::ReadResult::no_data && net::now() >= silent) return FollowEnd::silent;
     }
   } catch (const std::runtime_error& error) {
-    net::log_line(std::string("bulletin: ") + error.what() + "; connecting anew");
-    return Ended::closed;
+    net::log_line(std::string("bulletin: ") + error.what() + "; reconnecting");
+    return FollowEnd::closed;
   }
 }
 
-// False: its events are asked for from the first on.
+// False: reconnect, and request the events from the first on.
 bool Bulletin::take(Frame& frame) {
-  // Its numbers went back: it has begun anew, and is asked from its first event on. Where members share their
-  // lists alone; the platform's own bulletin counts on for as long as a controller runs.
+  // Its numbers went back: it has restarted, and is read from its first event on. Done only where members
+  // share their lists; the platform's own bulletin keeps counting for as long as a controller runs.
   if (frame.kind == 0 && frame.number > 0 && frame.number < last_ && list_.governed()) {
-    net::log_line("bulletin: it has begun anew, from " + std::to_string(last_) + " to " +
+    net::log_line("bulletin: restarted, from event " + std::to_string(last_) + " to " +
                   std::to_string(frame.number));
     last_ = 0;
     list_.restarted();
     return false;
   }
   if (frame.kind == 0) list_.caught_up();
-  if (frame.number <= last_) list_.live(true);  // nothing is newer
-  // On this connection nothing is untold any more, and what comes from now on is told as it happens.
+  if (frame.number <= last_) list_.live(true);  // no newer event exists
+  // This connection has delivered every event so far, and delivers new ones as they happen.
   current_->caught_up = current_->caught_up || (frame.kind == 0 && frame.number <= last_);
   if (current_->caught_up) list_.followed();
-  // An event told twice must not undo what has come since.
+  // An event that is received twice must not undo later ones.
   if (frame.kind == 0 || frame.number <= last_) return true;
   last_ = frame.number;
   list_.numbered(last_);
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -10,21 +10,21 @@
 using core::SetUp;
 
 void OfficeLink::begin() {
-  const std::lock_guard hold(lock_);  // its first turn waits until it knows its own number
-  watch_ = loop_.add(shared_from_this());
+  const std::lock_guard hold(lock_);  // its first event waits until the id is stored
+  handler_id_ = loop_.add(shared_from_this());
 }
 
 void OfficeLink::listed(const OfficeEntry& office) {
   const std::lock_guard hold(lock_);
   const auto address = net::parse_address(office.address);
-  // Guards against speaking to a dead process, or to one that has taken over the address.
+  // Guards against sending to a dead process, or to another one that has taken over its address.
   const bool another = reach_.told(office.entry);
-  if (another) owed_.clear();  // with the process went its calls
+  if (another) pending_releases_.clear();  // the calls ended with the process
   if (another || (address && net::to_text(*address) != net::to_text(address_))) outdated_ = true;
   if (outdated_ && line_) line_->fd.shut();
   if (address) address_ = *address;
   if (!reach_.ready()) withdraw_unsent();
-  loop_.wake(watch_);
+  loop_.wake(handler_id_);
 }
 
 bool OfficeLink::start(const SetUp& set_up, const std::string& class_name) {
@@ -36,7 +36,7 @@
     line = line_;
     if (line) queue(line, set_up.call, open);
   }
-  line ? pump(line) : loop_.wake(watch_);  // dial for it, at once
+  line ? pump(line) : loop_.wake(handler_id_);  // dial at once
   return true;
 }
 
@@ -50,24 +50,26 @@
     open_.erase(found);
     line = line_;
     if (!line) return;
-    if (!open.left) {  // nor will it
+    if (!open.left) {  // not written, and now removed
       line->outbox.withdraw(open.tag);
       return;
     }
-    // A peer that does not read would get this too late: closing gives up what is open there at once. Its
-    // answer may cross that, so that it is told on the next connection as well.
+    // An office that does not read would receive this too late: closing gives up its open set-ups at once.
+    // Its answer may cross the close, so the release is also sent on the next connection.
     if (line->outbox.blocked()) {
-      owed_.emplace_back(call, finish_line(call));
+      pending_releases_.emplace_back(call, finish_line(call));
       return line->fd.shut();
     }
-    // Kept until it must have been read, as a release: an answer that crosses it stands until then.
-    if (!tell_over(call, finish_line(call))) return line->fd.shut();
-    if (finishing_) loop_.wake(watch_);
+    // Held until it must have been read, like a release: an answer that crosses it establishes the call until
+    // then.
+    if (!send_release(call, finish_line(call))) return line->fd.shut();
+    if (finishing_) loop_.wake(handler_id_);
   }
   pump(line);
 }
 
-// It is told as draining or gone: what has not begun to leave need not wait for a connection to hear of it.
+// The office is draining or gone: set-ups that are not written yet are returned without waiting for a
+// connection.
 void OfficeLink::withdraw_unsent() {
   for (auto at = open_.begin(); at != open_.end();) {
     const auto next = std::next(at);
@@ -84,18 +86,18 @@
   std::shared_ptr<Line> line;
   {
     const std::lock_guard hold(lock_);
-    if (reach_.gone()) return;  // with the office went its calls
+    if (reach_.gone()) return;  // the calls ended with the office
     line = line_;
-    tell_over(call, finish_line(call));
-    if (finishing_) loop_.wake(watch_);
+    send_release(call, finish_line(call));
+    if (finishing_) loop_.wake(handler_id_);
   }
-  line ? pump(line) : loop_.wake(watch_);
+  line ? pump(line) : loop_.wake(handler_id_);
 }
 
 void OfficeLink::keep(bool calls_established) {
   const std::lock_guard hold(lock_);
   reach_.keep(calls_established);
-  look_in_time();
+  wake_if_due_earlier();
 }
 
 void OfficeLink::handle_event(bool ready) {
@@ -104,8 +106,8 @@
     const std::lock_guard hold(lock_);
     if (ended_) return;
     if (outdated_) {
-      if (line_) drop(Rest::read);  // whoever may speak there is not the one that is listed
-      let_go();
+      if (line_) drop(Rest::read);  // the process there is not the one that is listed
+      drop_leaving();
       loop_.unwatch(dialling_);
       dialling_.reset();
     } else if (line_ && ready && !read()) {
@@ -114,8 +116,8 @@
     outdated_ = false;
     if (finishing_) leave_all();
     read_leaving();
-    if (line_) ask_if_there();
-    if (!line_ && dialling_) look_at_dial();
+    if (line_) check_quiet();
+    if (!line_ && dialling_) check_dial();
     for (int tries = 0; !line_ && !dialling_ && net::now() >= dial_at() && tries < 2; ++tries) dial();
     if (reach_.gone() && !line_ && !dialling_ && open_.empty()) return end();
     line = line_;
@@ -125,28 +127,28 @@
   if (!ended_) arm();
 }
 
-// Writes what goes now; the loop's own thread sees to the rest. Without the lock: a set-up is checked
-// again.
+// Writes what the socket takes; the loop's thread writes the rest. Must be called without the lock, because
+// set-ups are checked again.
 void OfficeLink::pump(const std::shared_ptr<Line>& line) {
   const auto how = line->outbox.flush(line->fd);
-  if (how == net::Outbox::Flushed::broken) line->fd.shut();  // the loop hears of it, and tells what was open
-  if (how == net::Outbox::Flushed::blocked) loop_.wake(watch_);
+  if (how == net::Outbox::Flushed::broken)
+    line->fd.shut();  // the loop detects it and reports the open set-ups
+  if (how == net::Outbox::Flushed::blocked) loop_.wake(handler_id_);
 }
 
 void OfficeLink::queue(const std::shared_ptr<Line>& line, CallId call, Open& open) {
-  // What it says is kept: where the connection breaks before it has left, it goes on the next one.
+  // The set-up stays in open_: if the connection breaks before it is written, it goes on the next one.
   const std::int64_t left_ms = whole_ms_left(open.set_up.give_up, net::now());
   const bool queued =
       line->outbox.push(start_line(open.set_up, open.class_name, left_ms), open.tag,
                         [this, call, attempt = open.set_up.attempt, on = line.get(),
                          left_ms](std::string& text) { return may_leave(call, attempt, on, left_ms, text); });
-  if (!queued) line->fd.shut();  // the loop reports what was open
+  if (!queued) line->fd.shut();  // the loop reports the open set-ups
 }
 
-// The first byte counts for drains, so all is checked again as the set-up leaves the queue.
-// Without the lock. `told_ms`: how long is left as `text` has it, which is written anew where less is left
-// now.
-bool OfficeLink::may_leave(CallId call, std::uint32_t attempt, const Line* on, std::int64_t told_ms,
+// Makes the last check as the set-up leaves the queue, since drains count from its first byte. Must be called
+// without the lock. `sent_ms`: remaining time stated in `text`, which is rewritten if less remains now.
+bool OfficeLink::may_leave(CallId call, std::uint32_t attempt, const Line* on, std::int64_t sent_ms,
                            std::string& text) {
   {
     const std::lock_guard hold(lock_);
@@ -156,12 +158,12 @@
     const Open& open = found->second;
     const std::int64_t left_ms = whole_ms_left(open.set_up.give_up, at);
     if (reach_.ready() && left_ms > 0) {
-      // It ends, by us or by the office: what has not begun to leave goes on the next connection.
+      // The connection is ending, by either side: what is not written yet goes on the next one.
       if (outdated_ || on->fd.far_end_closed()) return false;
-      if (left_ms < told_ms) text = start_line(open.set_up, open.class_name, left_ms);
-      if (reach_.left(at)) look_in_time();
+      if (left_ms < sent_ms) text = start_line(open.set_up, open.class_name, left_ms);
+      if (reach_.left(at)) wake_if_due_earlier();
       core_.attempt_transmitted();
-      // An end of an attempt before this one must not go again once this one is there.
+      // The release of an earlier attempt must not be repeated once this one has arrived.
       if (attempt > 0) found->second.follows_give_up = releases_.heard(call);
       return found->second.left = true;
     }
@@ -171,20 +173,20 @@
   return false;
 }
 
-bool OfficeLink::read() {  // false: the connection has ended, or can't be trusted
+bool OfficeLink::read() {  // false: ended, or cannot be trusted
   const net::ReadResult got = buffer_.fill_now(line_->fd);
   if (got == net::ReadResult::closed) return false;
   if (got == net::ReadResult::no_data) return true;
   const Time at = net::now();
   reach_.heard(at);
   releases_.spoke(at);
-  // It may be up, and bring what the office owes.
-  if (asking_ && !collecting_) leave(std::make_shared<Line>(std::move(asking_)), {}, Leaves::beside);
+  // The second connection may be up and carry releases from the office.
+  if (second_ && !collecting_) leave(std::make_shared<Line>(std::move(second_)), {}, Leaves::beside);
   for (;;) {
     const std::string_view held = buffer_.view();
     const std::size_t end = held.find('\n');
     if (end == std::string_view::npos) return !buffer_.full();
-    // After spoilt bytes nothing on this connection can be trusted: all that is open on it broke.
+    // After a malformed line nothing on this connection can be trusted: its open set-ups have failed.
     try {
       take(held.substr(0, end));
     } catch (const std::runtime_error& error) {
@@ -197,45 +199,44 @@
 
 void OfficeLink::end() {
   ended_ = true;
-  loop_.remove(watch_);
+  loop_.remove(handler_id_);
 }
 
-// Told anew after each turn: what it waits for, and until when.
+// Updates the watched events and the due time after each event.
 void OfficeLink::arm() {
   Time at = net::kNever;
   if (line_) {
-    loop_.watch(watch_, line_->fd, true, line_->outbox.blocked());
-    at = std::min(line_->outbox.write_deadline(), asking_ ? dial_by_ : second_dial_at());
-    if (asking_) loop_.watch(watch_, asking_, false, true);
+    loop_.watch(handler_id_, line_->fd, true, line_->outbox.blocked());
+    at = std::min(line_->outbox.write_deadline(), second_ ? dial_by_ : second_dial_at());
+    if (second_) loop_.watch(handler_id_, second_, false, true);
   } else if (dialling_) {
-    loop_.watch(watch_, dialling_, false, true);
+    loop_.watch(handler_id_, dialling_, false, true);
     at = dial_by_;
   } else {
     at = dial_at();
   }
   for (const Leaving& left : leaving_) {
-    loop_.watch(watch_, left.line->fd, true, false);
+    loop_.watch(handler_id_, left.line->fd, true, false);
     at = std::min(at, left.until);
   }
-  turn_by_ = loop_.due(watch_, at);
-  if (may_leave_line()) loop_.wake(watch_);
+  event_by_ = loop_.due(handler_id_, at);
+  if (may_leave_line()) loop_.wake(handler_id_);
 }
-// From now on it is to be looked at: woken only where no turn is due in time anyway. Of an open connection,
-// or of one that is wanted.
-void OfficeLink::look_in_time() {
-  if ((line_ ? second_dial_at() : dial_at()) < turn_by_) loop_.wake(watch_);
+// Wakes the link if the next dial is due before the next event.
+void OfficeLink::wake_if_due_earlier() {
+  if ((line_ ? second_dial_at() : dial_at()) < event_by_) loop_.wake(handler_id_);
 }
 
-// A call may have been given up here and sent again. An answer of the attempt before lets the call stand as
-// well as one of its own. An end that may be the earlier attempt's proves nothing of the one that is out,
-// which is given up in turn.
+// A call may have been given up here and sent again. An answer to the earlier attempt establishes the call as
+// well as one to the present attempt. An end that may belong to the earlier attempt proves nothing about the
+// present one, which is given up in turn.
 void OfficeLink::take(std::string_view text) {
   OfficeLine line = read_line(text);
   using Verb = OfficeLine::Verb;
   if (line.verb == Verb::load) return core_.reported(id_, line.report);
   if (line.verb == Verb::nothing) return;
   if (const auto found = open_.find(line.call); found != open_.end()) {
-    if (!found->second.left) return;  // of an attempt before, whose end is written or owed
+    if (!found->second.left) return;  // of an earlier attempt, whose end is written or pending
     if (line.verb == Verb::finish && found->second.follows_give_up)
       return core_.attempt_failed(line.call, found->second.set_up.attempt, AttemptOutcome::reset);
     open_.erase(found);
--- a/src/platform/office_lines.cpp
+++ b/src/platform/office_lines.cpp
@@ -8,19 +8,19 @@
 
 using base::Json;
 
-// A report with a figure out of range is worth nothing: none of it is used.
+// A report with a figure out of range is ignored completely.
 LoadReport read_report(std::string_view text) {
-  constexpr double kMost = 1.0e7;
+  constexpr double kMax = 1.0e7;
   LoadReport out;
-  bool sound = true;
-  base::each_figure(text, [&out, &sound](std::string_view name, double value) {
-    sound = sound && value >= -1.0 && value <= kMost;
+  bool valid = true;
+  base::each_figure(text, [&out, &valid](std::string_view name, double value) {
+    valid = valid && value >= -1.0 && value <= kMax;
     if (name == "x0" || name == "free") out.free_lines = value;
     if (name == "x1" || name == "size") out.lines = value;
     if (name == "latency_ms" || name == "recent_ms") out.wait_ms = value;
     if (name == "eps" || name == "hold_back") out.hold_back = value;
   });
-  if (!sound || (out.lines >= 0.0 && out.free_lines > out.lines)) return {};
+  if (!valid || (out.lines >= 0.0 && out.free_lines > out.lines)) return {};
   return out;
 }
 
@@ -32,7 +32,7 @@
     const std::string* s = field == nullptr ? nullptr : field->string();
     return s == nullptr ? std::string() : *s;
   };
-  const auto spoilt = [](const char* what) { throw base::JsonError(std::string("a line with ") + what); };
+  const auto fail = [](const char* what) { throw base::JsonError(std::string("a line with ") + what); };
   const std::string verb = field_of("verb");
   const auto tag = base::parse_hex16(field_of("tag"));
   const Json* opts = line.find("opts");
@@ -44,22 +44,22 @@
   out.report = read_report(opt("load"));
   if (verb == "LOAD") return out.verb = Verb::load, out;
   if (verb == "PENDING" || verb == "FINISHED" || verb == "ECHOED") return out;
-  if (!tag) spoilt("no tag");
+  if (!tag) fail("no tag");
   out.call = CallId{tag.value_or(0)};
   if (verb == "STARTED") {
     const Json* blob = line.find("blob");
-    if (blob == nullptr || blob->string() == nullptr) spoilt("an answer without a description");
+    if (blob == nullptr || blob->string() == nullptr) fail("an answer without a description");
     out.verb = Verb::started;
     out.blob = field_of("blob");
   } else if (verb == "FINISH") {
     const Json* rc = line.find("rc");
     const auto cause = rc == nullptr ? std::nullopt : rc->numeric();
-    if (!cause || *cause < 0.0 || *cause > 127.0) spoilt("no cause");
+    if (!cause || *cause < 0.0 || *cause > 127.0) fail("no cause");
     out.verb = Verb::finish;
     out.cause = static_cast<int>(cause.value_or(0.0));
     out.note = opt("note");
   } else {
-    spoilt("an unknown verb");
+    fail("an unknown verb");
   }
   return out;
 }
--- a/src/platform/offices.cpp
+++ b/src/platform/offices.cpp
@@ -35,10 +35,10 @@
   }
   if (!complete) return;
   std::erase_if(links_, [&offices](const auto& l) {
-    const bool kept = std::any_of(offices.begin(), offices.end(),
-                                  [&l](const OfficeEntry& o) { return o.entry.server == l.first; });
-    if (!kept) l.second->listed({{.server = l.first, .state = ServerState::gone}, ""});
-    return !kept;
+    const bool listed_still = std::any_of(offices.begin(), offices.end(),
+                                          [&l](const OfficeEntry& o) { return o.entry.server == l.first; });
+    if (!listed_still) l.second->listed({{.server = l.first, .state = ServerState::gone}, ""});
+    return !listed_still;
   });
 }
 
@@ -63,9 +63,10 @@
   finishing_ = true;
   for (const auto& [id, link] : links_) link->finish();
 }
-bool Offices::owes() {
+bool Offices::has_pending_releases() {
   const std::lock_guard hold(lock_);
-  return std::any_of(links_.begin(), links_.end(), [](const auto& l) { return l.second->owes(); });
+  return std::any_of(links_.begin(), links_.end(),
+                     [](const auto& l) { return l.second->has_pending_releases(); });
 }
 bool Offices::finished() {
   const std::lock_guard hold(lock_);
--- a/src/platform/offices.h
+++ b/src/platform/offices.h
@@ -1,7 +1,7 @@
-// The offices of the platform: one link an office, speaking JSON lines, all on one loop.
+// The platform's offices: one OfficeLink for each listed office, all on one event loop.
 //
-// Owns: the links by office, as the list tells of them, and the loop on which they turn.
-// Must never: choose an office, or speak to one that is not listed.
+// Links are created and ended as the office list reports offices. Offices are chosen by the core.
+// Thread-safe.
 #pragma once
 
 #include <map>
@@ -25,10 +25,10 @@
   void release(ServerId office, CallId call) override;
   void keep(ServerId office, bool calls_established) override;
 
-  // The program ends (OfficeLink::finish): set-ups are returned unsent from now on.
+  // Shutdown (OfficeLink::finish): set-ups are returned unsent from now on.
   void finish();
-  [[nodiscard]] bool owes();      // releases wait to be written
-  [[nodiscard]] bool finished();  // whatever the offices had sent is with the core
+  [[nodiscard]] bool has_pending_releases();  // releases are queued and not yet written
+  [[nodiscard]] bool finished();              // everything that the offices had sent has reached the core
 
  private:
   std::shared_ptr<OfficeLink> link(ServerId office);
@@ -36,9 +36,10 @@
   std::vector<std::string> class_names_;
   Duration dial_limit_;
   std::mutex lock_;
-  std::map<ServerId, std::shared_ptr<OfficeLink>> links_;  // one whose office has gone ends by itself
+  std::map<ServerId, std::shared_ptr<OfficeLink>>
+      links_;  // the link of an office that is gone ends by itself
   bool finishing_ = false;
-  net::Loop loop_;  // last: its turns end before what they use
+  net::Loop loop_;  // last: its handlers end before the members that they use
 };
 
 }  // namespace reeltack::platform
--- a/src/shutdown/shutdown.cpp
+++ b/src/shutdown/shutdown.cpp
@@ -46,7 +46,7 @@
     done = steps.done;
   }
   await_core(core);
-  if (!offices.owes()) return;
+  if (!offices.has_pending_releases()) return;
   for (const Time by = net::now() + kLastReleases; !offices.finished() && net::now() < by;)
     net::pause_until(net::now() + 1ms);
 }
