--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -10,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t kMostFigure = 65535;  // places are 16-bit numbers in the bulletin
-constexpr std::int64_t kWidest = 255;        // circuits of one call
+constexpr std::int64_t kMaxFigure = 65535;  // places are 16-bit numbers in the bulletin
+constexpr std::int64_t kMaxWidth = 255;     // circuits of one call
 
-// The figures of a set-up, none of which an office would check: whole numbers within what they can mean.
-bool read_facts(std::string_view text, CallArrived& told) {
+// Parses the figures of a set-up, which offices do not check: integers within their meaningful range.
+bool read_facts(std::string_view text, CallArrived& arrival) {
   while (!text.empty()) {
     const std::string_view one = text.substr(0, text.find(';'));
     text.remove_prefix(std::min(one.size() + 1, text.size()));
@@ -22,11 +22,11 @@
     if (colon == std::string_view::npos || colon == 0) return false;
     const std::string_view name = one.substr(0, colon);
     const auto value = whole_number(one.substr(colon + 1));
-    if (!value || *value < -1 || *value > kMostFigure) return false;
+    if (!value || *value < -1 || *value > kMaxFigure) return false;
     if (*value < 0 && name != "via") return false;
-    if (name == "dest") told.destination = static_cast<std::uint32_t>(*value);
-    if (name == "width" && (*value < 1 || *value > kWidest)) return false;
-    if (name == "again") told.dropped_before = *value != 0;
+    if (name == "dest") arrival.destination = static_cast<std::uint32_t>(*value);
+    if (name == "width" && (*value < 1 || *value > kMaxWidth)) return false;
+    if (name == "again") arrival.dropped_before = *value != 0;
   }
   return true;
 }
@@ -39,16 +39,16 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-SipFrontend::SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections)
+SipFrontend::SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t max_connections)
     : core_(core),
       class_names_(std::move(class_names)),
-      door_(
-          most_connections,
+      listener_(
+          max_connections,
           [this](net::Fd fd) { return std::make_shared<SipConnection>(*this, std::move(fd)); },
-          [this](net::Peer& connection) { joined(connection); }) {}
+          [this](net::Peer& connection) { on_accepted(connection); }) {}
 
-bool SipFrontend::take(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
-  if (message.method.empty()) return heard(*from, message), true;
+bool SipFrontend::handle_message(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
+  if (message.method.empty()) return handle_answer(*from, message), true;
   if (message.method == "ACK") return true;  // nothing to do
   if (message.method == "OPTIONS") {
     from->push(core_.ready() ? sip_answer(200, "OK", message.echoed())
@@ -58,7 +58,7 @@
   const std::string* id = message.header("Call-ID");
   const auto call = id == nullptr ? std::nullopt : net::parse_hex16(*id);
   if (!call || message.header("CSeq") == nullptr) return false;
-  if (message.method == "INVITE") return take_invite(from, message, CallId{*call}), true;
+  if (message.method == "INVITE") return handle_invite(from, message, CallId{*call}), true;
   if (message.method == "CANCEL") {
     from->push(sip_answer(200, "OK", message.echoed()));
     core_.give_up(CallId{*call}, *this);
@@ -73,11 +73,11 @@
   return true;
 }
 
-void SipFrontend::take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
-                              CallId call) {
+void SipFrontend::handle_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
+                                CallId call) {
   core::Request request;
-  CallArrived& told = request.told;
-  told.call = call;
+  CallArrived& arrival = request.told;
+  arrival.call = call;
   const std::size_t at = message.uri.find('@');
   const auto number = message.uri.rfind("sip:", 0) == 0 && at != std::string::npos
                           ? net::parse_hex16(std::string_view(message.uri).substr(4, at - 4))
@@ -88,20 +88,22 @@
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
   }
-  told.number = CalledNumber{*number};
-  told.caller_leaves_at = net::now() + std::chrono::milliseconds(*ms);
+  arrival.number = CalledNumber{*number};
+  arrival.caller_leaves_at = net::now() + std::chrono::milliseconds(*ms);
   const std::string* subject = message.header("Subject");
   const auto name = std::find(class_names_.begin(), class_names_.end(), subject == nullptr ? "" : *subject);
-  if (name == class_names_.end()) {  // said here: what anybody can send at full speed must not cost the core
+  if (name == class_names_.end()) {  // answered here, so that floods of unknown classes do not load the core
     from->push(sip_answer(488, "Not Acceptable Here", message.echoed()));
     return;
   }
-  told.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
-  if (const std::string* facts = message.header("X-Facts"); facts != nullptr && !read_facts(*facts, told)) {
+  arrival.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
+  if (const std::string* facts = message.header("X-Facts");
+      facts != nullptr && !read_facts(*facts, arrival)) {
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
   }
-  // An office reads JSON lines: on a description that is no UTF-8 it would close on its other set-ups too.
+  // Offices read JSON lines: one that receives invalid UTF-8 would close the connection with its other
+  // set-ups.
   if (!net::is_utf8(message.body)) {
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
@@ -122,20 +124,20 @@
     d.subject = subject;
     d.description = message.body;
   } else if (d.answered || d.uri != message.uri || d.subject != subject || d.description != message.body) {
-    // Another set-up under the id of an open call: it must get neither that call's answer nor its place.
+    // A different set-up under the id of an open call must neither get that call's answer nor replace it.
     from->push(sip_answer(482, "Loop Detected", message.echoed()));
     return false;
   } else if (std::any_of(d.requesters.begin(), d.requesters.end(),
                          [&from](const Requester& a) { return a.connection.lock() == from; })) {
     return false;
   }
-  // The same set-up once more crossed a close of ours, or is hedged: its one answer is owed here now.
+  // A repeated set-up, which crossed a close of ours or is hedged: its single answer is now due here.
   d.requesters.push_back({from, message.echoed()});
   from->opened(call);
   return fresh;
 }
 
-// The call is given up with the last connection on which its set-up came.
+// The call is given up when the last connection on which its set-up was received ends.
 void SipFrontend::requester_left(SipConnection& from, CallId call) {
   {
     const std::lock_guard hold(lock_);
@@ -166,22 +168,23 @@
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return false;
   Dialogue& d = found->second;
-  // A caller that has closed, noticed or not, has given the call up: it would never end what stands.
+  // A caller that has closed, even if the loop has not noticed, has given up the call and would never release
+  // it.
   const Requester* reachable = last_reachable(d);
-  const Requester asker = reachable == nullptr ? d.requesters.back() : *reachable;
-  const auto connection = asker.connection.lock();
-  const bool told = reachable != nullptr && connection &&
-                    connection->push(sip_answer(200, "OK", asker.echoed, "", description));
-  if (!told && connection) connection->push(sip_answer(487, "Request Terminated", asker.echoed));
-  if (told) connection->established(call);
-  close_askers(d, call, told ? connection : nullptr);
-  if (!told) {
+  const Requester requester = reachable == nullptr ? d.requesters.back() : *reachable;
+  const auto connection = requester.connection.lock();
+  const bool sent = reachable != nullptr && connection &&
+                    connection->push(sip_answer(200, "OK", requester.echoed, "", description));
+  if (!sent && connection) connection->push(sip_answer(487, "Request Terminated", requester.echoed));
+  if (sent) connection->established(call);
+  close_requesters(d, call, sent ? connection : nullptr);
+  if (!sent) {
     dialogues_.erase(found);
     return false;
   }
   d.answered = true;
   d.description = {};
-  d.requesters = {asker};
+  d.requesters = {requester};
   return true;
 }
 
@@ -191,11 +194,11 @@
   if (found == dialogues_.end()) return;
   const Dialogue d = std::move(found->second);
   dialogues_.erase(found);
-  // With more than one, the last that can be reached; a far end that closed its own way only reads it as
-  // well.
+  // Of several, the last reachable one. A single one is answered in any case: a far end that closed only its
+  // own direction still reads.
   const Requester* reachable = d.requesters.size() > 1 ? last_reachable(d) : nullptr;
-  const Requester& asker = reachable == nullptr ? d.requesters.back() : *reachable;
-  const auto connection = asker.connection.lock();
+  const Requester& requester = reachable == nullptr ? d.requesters.back() : *reachable;
+  const auto connection = requester.connection.lock();
   if (!connection) return;
   std::string advice;
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(later).count();
@@ -208,15 +211,15 @@
                   {482, "Loop Detected"},         {488, "Not Acceptable Here"},
                   {487, "Request Terminated"}};
   const auto& a = kAnswers[static_cast<std::size_t>(why)];
-  connection->push(sip_answer(a.status, a.reason, asker.echoed, advice));
-  close_askers(d, call);  // only now: a connection without an open set-up may end at any time
+  connection->push(sip_answer(a.status, a.reason, requester.echoed, advice));
+  close_requesters(d, call);  // after the push: a connection without an open set-up may end at any time
 }
 
 void SipFrontend::over(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
-  close_askers(found->second, call);
+  close_requesters(found->second, call);
   dialogues_.erase(found);
 }
 
@@ -229,10 +232,10 @@
   return found == dialogue.requesters.rend() ? nullptr : &*found;
 }
 
-void SipFrontend::close_askers(const Dialogue& dialogue, CallId call,
-                               const std::shared_ptr<SipConnection>& except) {
-  for (const Requester& asker : dialogue.requesters) {
-    const auto connection = asker.connection.lock();
+void SipFrontend::close_requesters(const Dialogue& dialogue, CallId call,
+                                   const std::shared_ptr<SipConnection>& except) {
+  for (const Requester& requester : dialogue.requesters) {
+    const auto connection = requester.connection.lock();
     if (connection && connection != except) connection->closed(call);
   }
 }
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -1,7 +1,9 @@
-// The platform's front for callers: SIP over TCP.
+// The platform's frontend for callers: SIP over TCP.
 //
-// Owns: the listener, the callers' connections and the dialogue data that an answer needs.
-// Must never: decide on a call, answer one twice, or close a connection on which a set-up is open.
+// Holds the listener, the callers' connections, and the dialogue data that an answer needs. Decisions on
+// calls are the core's. A set-up is answered once, and a connection with an open set-up is not closed.
+//
+// Threads: a mutex guards the tables; public functions may be called from any thread.
 #pragma once
 
 #include <memory>
@@ -18,17 +20,19 @@
 
 class SipFrontend final : public core::CallerFrontend {
  public:
-  SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections);
-  void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
-  void yield(std::size_t most) { door_.yield(most); }    // to a successor, if one listens beside this program
-  // The end: each connection once no set-up is open on it, but for one, by which releases go that come yet;
-  // that one too; then those on which bytes go on coming as well.
-  void close_idle_but_one() { door_.close_idle_but_one(); }
-  void close_idle() { door_.close_idle(); }
-  void close_by(Time over_by) { door_.close_by(over_by); }
-  [[nodiscard]] bool closed() { return door_.closed(); }
-  [[nodiscard]] const net::ConnectionListener::Counts& connections() const { return door_.counts(); }
-  void close_all() { door_.close_all(); }  // waits until every connection has ended
+  SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t max_connections);
+  void open(const net::Address& at) { listener_.open(at); }  // throws std::runtime_error
+  void yield(std::size_t max_connections) {
+    listener_.yield(max_connections);
+  }  // to a successor process, if one listens
+  // Shutdown in three steps: closes each connection once no set-up is open on it, except one for further
+  // releases; that one too; then also those that keep sending.
+  void close_idle_but_one() { listener_.close_idle_but_one(); }
+  void close_idle() { listener_.close_idle(); }
+  void close_by(Time over_by) { listener_.close_by(over_by); }
+  [[nodiscard]] bool closed() { return listener_.closed(); }
+  [[nodiscard]] const net::ConnectionListener::Counts& connections() const { return listener_.counts(); }
+  void close_all() { listener_.close_all(); }  // waits until every connection has ended
 
   bool stands(CallId call, const std::string& description) override;
   void refused(CallId call, core::Why why, Duration later) override;
@@ -38,42 +42,43 @@
 
  private:
   friend class SipConnection;
-  // A connection on which a set-up came, and the headers of it that its answer repeats.
+  // A connection on which a set-up was received, and the headers that its answer repeats.
   struct Requester {
     std::weak_ptr<SipConnection> connection;
     std::string echoed;
   };
   struct Dialogue {
-    // One at the least; more where the set-up came again. The last that can be reached gets the one answer.
+    // At least one; more if the set-up was repeated. The last reachable one gets the single answer.
     std::vector<Requester> requesters;
     std::string uri;
     std::string subject;
-    std::string description;  // until the answer: a repeat must carry the same
+    std::string description;  // until the answer; a repeated set-up must carry the same
     bool answered = false;
   };
-  void joined(net::Peer& connection);
-  // A release on its way to a caller, on the connection or owed to the next; with the lock held.
-  enum class Takes { at_once, later };  // later: what was queued before it may not leave for a while
-  bool tell_over(SipConnection& to, CallId call, const std::string& line, Takes how);
-  bool tell_any(SipConnection* own, const SipConnection* except, CallId call, const std::string& line);
-  void unheard(SipConnection& from);  // it has ended: what it may not have read goes by another
-  bool take(const std::shared_ptr<SipConnection>& from, const SipMessage& message);
-  void heard(SipConnection& from, const SipMessage& message);
-  void take_after_close(SipConnection& from, const SipMessage& message);
-  void take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message, CallId call);
-  // False: the same set-up is open here already, or this answers the one that came.
+  void on_accepted(net::Peer& connection);
+  // Delivery of a release to a caller, on this connection or a later one. Requires the lock.
+  enum class Delivery { immediately, later };  // later: it may wait behind other output
+  bool send_release(SipConnection& to, CallId call, const std::string& line, Delivery how);
+  bool send_release_anywhere(SipConnection* own, const SipConnection* except, CallId call,
+                             const std::string& line);
+  void resend_unread(SipConnection& from);  // resends what an ended connection may not have read
+  bool handle_message(const std::shared_ptr<SipConnection>& from, const SipMessage& message);
+  void handle_answer(SipConnection& from, const SipMessage& message);
+  void handle_after_close(SipConnection& from, const SipMessage& message);
+  void handle_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message, CallId call);
+  // False: the set-up is open on this connection already, or was answered here as a conflict.
   bool open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message, CallId call);
   void requester_left(SipConnection& from, CallId call);
-  static const Requester* last_reachable(const Dialogue& dialogue);  // or none
-  static void close_askers(const Dialogue& dialogue, CallId call,
-                           const std::shared_ptr<SipConnection>& except = nullptr);
+  static const Requester* last_reachable(const Dialogue& dialogue);  // or null
+  static void close_requesters(const Dialogue& dialogue, CallId call,
+                               const std::shared_ptr<SipConnection>& except = nullptr);
 
   core::Core& core_;
   const std::vector<std::string> class_names_;
   std::mutex lock_;  // guards the tables below
   std::unordered_map<CallId, Dialogue> dialogues_;
-  std::vector<std::pair<CallId, std::string>> owed_;  // releases for the next connection
-  net::ConnectionListener door_;                      // last: its connections end before what they use
+  std::vector<std::pair<CallId, std::string>> pending_releases_;  // releases for the next connection
+  net::ConnectionListener listener_;  // last: its connections end before the members that they use
 };
 
 }  // namespace reeltack::platform
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -1,9 +1,8 @@
-// A caller's connection, for the files of the front alone.
+// A caller's connection. Internal to the SIP frontend.
 //
-// Owns: the cutting of what comes into messages, and the releases that went here and may not have been read.
-// Must never: decide on a call, or know what a message asks for.
+// Splits the input into messages and records the releases sent on it that may not have been read.
 //
-// Threads: as net::Peer; its releases are guarded by the front's lock.
+// Threads: as net::Peer; the releases are guarded by the frontend's lock.
 #pragma once
 
 #include "membership/releases.h"
@@ -11,9 +10,9 @@
 
 namespace reeltack::platform {
 
-// A caller that is there reads at once: what it left unread for longer it had read, or is out of reach.
-// Longer than our own delay in hearing of its end on a loaded machine, and shorter than a caller waits until
-// it closes an idle connection (4 s).
+// A caller that is connected reads at once: a release sent longer ago than `settled` was read, or the caller
+// is unreachable. The value exceeds our own delay in noticing a close on a loaded machine, and is shorter
+// than the time after which a caller closes an idle connection (4 s).
 inline constexpr membership::PendingReleasesSettings kReleases{.settled = std::chrono::seconds(3),
                                                                .most = 256};
 
@@ -21,7 +20,6 @@
 std::string sip_answer(int status, const char* reason, const std::string& echoed,
                        const std::string& more = "", const std::string& body = "");
 
-// A caller's connection.
 class SipConnection final : public net::Peer {
  public:
   SipConnection(SipFrontend& front, net::Fd fd) : net::Peer(std::move(fd)), front_(front) {}
@@ -32,29 +30,29 @@
     for (;;) {
       SipMessage message;
       std::size_t used = 0;
-      const Parsed parsed = parse_sip(buffer_.view(), message, used);
+      const ParseResult parsed = parse_sip(buffer_.view(), message, used);
       buffer_.take(used);
-      if (parsed == Parsed::more) return Next::more;
-      if (parsed == Parsed::malformed) {
+      if (parsed == ParseResult::more) return Next::more;
+      if (parsed == ParseResult::malformed) {
         push("SIP/2.0 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
         return hang_up();
       }
       whole();
-      // Where it ends is known, so that what follows is understood.
-      if (!front_.take(self, message)) push(sip_answer(400, "Bad Request", message.echoed()));
+      // The end of the message is known, so the following ones can still be parsed.
+      if (!front_.handle_message(self, message)) push(sip_answer(400, "Bad Request", message.echoed()));
     }
   }
-  // Set-ups cross our close and come again; a release is not repeated.
+  // A set-up that crosses our close is sent again by its caller; a release is not.
   [[nodiscard]] bool takes_after_close() const override { return true; }
   void received_after_close() override {
     for (;;) {
       SipMessage message;
       std::size_t used = 0;
-      const Parsed parsed = parse_sip(buffer_.view(), message, used);
-      if (parsed == Parsed::malformed) return buffer_.take(buffer_.view().size());
+      const ParseResult parsed = parse_sip(buffer_.view(), message, used);
+      if (parsed == ParseResult::malformed) return buffer_.take(buffer_.view().size());
       buffer_.take(used);
-      if (parsed == Parsed::more) return;
-      front_.take_after_close(*this, message);
+      if (parsed == ParseResult::more) return;
+      front_.handle_after_close(*this, message);
     }
   }
   void late() override {
@@ -63,17 +61,17 @@
   }
   void left(const std::set<CallId>& open) override {
     for (const CallId call : open) front_.requester_left(*this, call);
-    front_.unheard(*this);
+    front_.resend_unread(*this);
   }
-  void unanswered(const std::set<CallId>& standing) override {
-    for (const CallId call : standing) front_.core_.release(call, front_);
+  void unanswered(const std::set<CallId>& established) override {
+    for (const CallId call : established) front_.core_.release(call, front_);
   }
   [[nodiscard]] bool answers_open() const override { return true; }
 
  private:
   friend class SipFrontend;
   SipFrontend& front_;
-  membership::Releases releases_{kReleases};  // that went here; with the front's lock
+  membership::Releases releases_{kReleases};  // sent here; guarded by the frontend's lock
 };
 
 }  // namespace reeltack::platform
--- a/src/ws/clients.cpp
+++ b/src/ws/clients.cpp
@@ -1,4 +1,4 @@
-// The front's side for clients: set-ups, questions and releases, and what they hear of their calls.
+// Client side of the frontend: set-ups, status queries, releases, and notifications about calls.
 #include <algorithm>
 
 #include "ws/connection.h"
@@ -13,7 +13,7 @@
 using net::Json;
 using net::quoted;
 
-constexpr Duration kLongestWait = 1h;  // of a caller
+constexpr Duration kMaxCallerWait = 1h;  // of a caller
 
 }  // namespace
 
@@ -34,35 +34,35 @@
 
 void Frontend::set_up(const ConnectionPtr& from, const Json& message, CallId call) {
   core::Request request;
-  CallArrived& told = request.told;
-  told.call = call;
+  CallArrived& arrival = request.told;
+  arrival.call = call;
   const auto number = net::parse_hex16(text_field(message, "number"));
   const auto patience = number_field(message, "patience_ms");
   const Json* description = message.find("description");
   const bool described = description != nullptr && description->string() != nullptr;
   const double choice = number_field(message, "first_choice").value_or(0.0);
-  const double limit = std::chrono::duration<double, std::milli>(kLongestWait).count();
+  const double limit = std::chrono::duration<double, std::milli>(kMaxCallerWait).count();
   const bool in_range =
       patience && *patience >= 0.0 && *patience <= limit && choice >= 0.0 && choice < 65536.0;
   if (!number || !in_range || !described) {
     from->send(error_message("bad-message", id_text(call)));
     return;
   }
-  told.number = CalledNumber{*number};
-  told.destination = static_cast<std::uint32_t>(choice);
-  told.caller_leaves_at = net::now() + std::chrono::milliseconds(static_cast<std::int64_t>(*patience));
+  arrival.number = CalledNumber{*number};
+  arrival.destination = static_cast<std::uint32_t>(choice);
+  arrival.caller_leaves_at = net::now() + std::chrono::milliseconds(static_cast<std::int64_t>(*patience));
   const auto& names = setup_.class_names;
   const auto name = std::find(names.begin(), names.end(), text_field(message, "class"));
   request.class_known = name != names.end();
-  told.call_class = static_cast<std::uint32_t>(name - names.begin());
+  arrival.call_class = static_cast<std::uint32_t>(name - names.begin());
   const Json* again = message.find("again");
-  told.dropped_before = again != nullptr && again->boolean().value_or(false);
+  arrival.dropped_before = again != nullptr && again->boolean().value_or(false);
   request.description = *description->string();
   request.side = this;
   {
     const std::lock_guard hold(lock_);
-    // The call of this id goes on undisturbed; only the second set-up is an error.
-    if (!listening_.try_emplace(call, from).second) {
+    // The call of this id is not affected; only the second set-up is rejected.
+    if (!subscribers_.try_emplace(call, from).second) {
       from->send(error_message("duplicate-id", id_text(call)));
       return;
     }
@@ -72,7 +72,7 @@
   core_.request(std::move(request));
 }
 
-// Answers how the call stands; from now on this connection hears of it.
+// Answers with the state of the call and subscribes this connection to it.
 void Frontend::status(const ConnectionPtr& from, CallId call) {
   core_.ask(call, [this, call, weak = std::weak_ptr(from)](const core::Status& s) {
     const ConnectionPtr connection = weak.lock();
@@ -84,33 +84,33 @@
     if (ours && s.phase == Phase::stands) line += ",\"description\":" + quoted(s.description);
     if (ours && (s.phase == Phase::open || s.phase == Phase::stands)) {
       const std::lock_guard hold(lock_);
-      std::weak_ptr<Connection>& listener = listening_[call];
-      const ConnectionPtr before = listener.lock();
+      std::weak_ptr<Connection>& subscriber = subscribers_[call];
+      const ConnectionPtr before = subscriber.lock();
       if (before != connection) {
         if (before) before->closed(call);
         if (s.phase == Phase::open) connection->opened(call);
       }
-      listener = connection;
+      subscriber = connection;
     }
     connection->send(line + "}");
   });
 }
 
-// The one place that tells a client of a call; the last message ends the listening.
+// Sends every notification about a call; the last one ends the subscription.
 void Frontend::send_about(CallId call, std::string_view fields, bool last) {
   const std::lock_guard hold(lock_);
-  const auto found = listening_.find(call);
-  if (found == listening_.end()) return;
+  const auto found = subscribers_.find(call);
+  if (found == subscribers_.end()) return;
   const ConnectionPtr connection = found->second.lock();
-  if (last) listening_.erase(found);
+  if (last) subscribers_.erase(found);
   if (!connection) return;  // dropped: the client may ask for the status
   connection->send("{\"call\":\"" + id_text(call) + "\"," + std::string(fields) + "}");
-  connection->closed(call);  // only now: a connection without an open set-up may end at any time
+  connection->closed(call);  // after sending: a connection without an open set-up may end at any time
 }
 
 bool Frontend::stands(CallId call, const std::string& description) {
   send_about(call, R"("type":"answer","result":"stands","description":)" + quoted(description), false);
-  return true;  // a call outlives its connection: the client can ask for it and release it on another
+  return true;  // a call outlives its connection: the client can query and release it on another
 }
 
 void Frontend::refused(CallId call, Why why, Duration later) {
@@ -128,7 +128,7 @@
 
 void Frontend::over(CallId call) {
   const std::lock_guard hold(lock_);
-  listening_.erase(call);
+  subscribers_.erase(call);
 }
 
 }  // namespace reeltack::ws
--- a/src/ws/connection.cpp
+++ b/src/ws/connection.cpp
@@ -5,14 +5,15 @@
 namespace reeltack::ws {
 namespace {
 
-// After so long the peer is asked by a ping, and cut off after as long again.
-constexpr Duration kSilence = std::chrono::seconds(20);
+// Silence after which the peer is pinged; after as much again the connection is closed.
+constexpr Duration kPingInterval = std::chrono::seconds(20);
 constexpr const char* kClients = "/calls";
 constexpr const char* kEndpoints = "/centrales";
 
 }  // namespace
 
-Connection::Connection(Frontend& front, net::Fd fd) : net::Peer(std::move(fd), kSilence), front_(front) {}
+Connection::Connection(Frontend& front, net::Fd fd)
+    : net::Peer(std::move(fd), kPingInterval), front_(front) {}
 
 bool Connection::send(const std::string& json, net::Outbox::Check check) {
   const std::lock_guard hold(sending_);
@@ -46,12 +47,12 @@
       return hang_up();
     }
     if (!message) return Next::more;
-    asked_ = false;
-    if (!take(self, *message)) return Next::end;
+    pinged_ = false;
+    if (!handle_message(self, *message)) return Next::end;
   }
 }
 
-bool Connection::take(const std::shared_ptr<Connection>& self, const Message& message) {
+bool Connection::handle_message(const std::shared_ptr<Connection>& self, const Message& message) {
   switch (message.kind) {
     case Message::Kind::ping:
       return push(control_frame(kOpPong, message.payload));
@@ -61,12 +62,12 @@
       send_close(message.close_code == 0 ? kNormal : message.close_code);
       return false;
     case Message::Kind::text:
-      return take_text(self, message.payload);
+      return handle_text(self, message.payload);
   }
   return true;
 }
 
-bool Connection::take_text(const std::shared_ptr<Connection>& self, const std::string& text) {
+bool Connection::handle_text(const std::shared_ptr<Connection>& self, const std::string& text) {
   try {
     const net::Json json = net::Json::parse(text);
     if (json.object() == nullptr) return send(error_message("bad-message"));
@@ -79,16 +80,16 @@
 
 void Connection::late() {
   if (path_.empty()) return;
-  send_close(kProtocolError, "late");  // half a frame
+  send_close(kProtocolError, "late");  // incomplete frame
   hang_up();
 }
 
 net::Peer::Next Connection::quiet() {
-  if (asked_) {  // no answer to the ping either: the peer is gone
+  if (pinged_) {  // the ping was not answered either
     send_close(kGoingAway, "silent");
     return Next::end;
   }
-  asked_ = true;
+  pinged_ = true;
   push(control_frame(kOpPing, "there?"));
   return Next::more;
 }
--- a/src/ws/connection.h
+++ b/src/ws/connection.h
@@ -1,9 +1,9 @@
-// A WebSocket connection, for the files of the front alone.
+// A WebSocket connection. Internal to the frontend.
 //
-// Owns: the handshake, the cutting of what comes into messages, control frames, and pings where it is quiet.
-// Must never: know what a message asks for.
+// Makes the handshake, splits the input into messages, answers control frames, and pings a quiet peer. The
+// meaning of messages is left to the frontend.
 //
-// Threads: as net::Peer; `endpoint` is guarded by the front's lock.
+// Threads: as net::Peer; `endpoint` is guarded by the frontend's lock.
 #pragma once
 
 #include "ws/frames.h"
@@ -14,12 +14,12 @@
 class Connection final : public net::Peer {
  public:
   Connection(Frontend& front, net::Fd fd);
-  // False: it is not sent; nothing follows a close frame (RFC 6455, 5.5.1).
+  // False: not sent, since the connection is ending or a close frame was sent (RFC 6455, 5.5.1).
   bool send(const std::string& json, net::Outbox::Check check = {});
   void send_close(int code, const std::string& reason = "");
-  // Its far end has asked for the endpoints' path.
+  // The far end requested the endpoints' path.
   [[nodiscard]] bool serves_endpoint() const { return serves_endpoint_; }
-  std::optional<ServerId> endpoint;  // that has registered here
+  std::optional<ServerId> endpoint;  // the endpoint registered on this connection
 
  protected:
   Next received() override;
@@ -28,15 +28,15 @@
   void left(const std::set<CallId>& open) override;
 
  private:
-  bool take(const std::shared_ptr<Connection>& self, const Message& message);
-  bool take_text(const std::shared_ptr<Connection>& self, const std::string& text);
+  bool handle_message(const std::shared_ptr<Connection>& self, const Message& message);
+  bool handle_text(const std::shared_ptr<Connection>& self, const std::string& text);
 
   Frontend& front_;
   std::string path_;  // empty until the handshake
   Assembler assembler_;
-  bool asked_ = false;  // by a ping
+  bool pinged_ = false;  // a ping was sent and nothing received since
   std::atomic<bool> serves_endpoint_{false};
-  std::mutex sending_;  // guards what follows, and that nothing is sent behind a close frame
+  std::mutex sending_;  // guards close_sent_, and that nothing is sent after a close frame
   bool close_sent_ = false;
 };
 
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -1,4 +1,4 @@
-// The front's side for endpoints: what they say, and the attempts and releases sent to them.
+// Endpoint side of the frontend: messages from endpoints, and the attempts and releases sent to them.
 #include "ws/connection.h"
 #include "ws/frames.h"
 #include "ws/messages.h"
@@ -9,7 +9,7 @@
 using net::Json;
 using net::quoted;
 
-// Rounded down: nobody is told of more time than there is.
+// Rounded down, so that no endpoint is given more time than remains.
 std::int64_t whole_ms_left(Time give_up) {
   return std::chrono::floor<std::chrono::milliseconds>(give_up - net::now()).count();
 }
@@ -32,7 +32,7 @@
   if (type == "load") return core_.reported(*id, load_report(message));
   if (type == "drain") return change_state(from, *id, ServerState::draining);
   if (type == "leave") return change_state(from, *id, ServerState::gone);
-  about_call(from, *id, message);
+  handle_call_message(from, *id, message);
 }
 
 void Frontend::change_state(const ConnectionPtr& from, ServerId id, ServerState state) {
@@ -47,7 +47,7 @@
   from->send(state == ServerState::draining ? R"({"type":"draining"})" : R"({"type":"left"})");
 }
 
-void Frontend::about_call(const ConnectionPtr& from, ServerId id, const Json& message) {
+void Frontend::handle_call_message(const ConnectionPtr& from, ServerId id, const Json& message) {
   const std::string type = text_field(message, "type");
   const std::string call_text = text_field(message, "call");
   const auto number = net::parse_hex16(call_text);
@@ -68,8 +68,8 @@
   core_.ended({id, call, static_cast<int>(*cause), text_field(message, "note"), load_report(message)});
 }
 
-// The first byte counts for drains, so all is checked again as the set-up leaves the queue.
-bool Frontend::may_leave(const core::SetUp& set_up, std::int64_t told_ms, std::string& message) {
+// Makes the last check as the set-up leaves the queue, since drains count from its first byte.
+bool Frontend::may_leave(const core::SetUp& set_up, std::int64_t sent_ms, std::string& message) {
   {
     const std::lock_guard hold(lock_);
     Endpoint& endpoint = endpoints_[set_up.office];
@@ -79,9 +79,9 @@
     const std::int64_t left_ms = whole_ms_left(set_up.give_up);
     if (connection && connection->accepts_output() && endpoint.entry.entry.state == ServerState::ready &&
         left_ms > 0) {
-      if (left_ms < told_ms) message = text_frame(set_up_message(set_up, left_ms));
+      if (left_ms < sent_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
-      endpoint.releases.heard(set_up.call);  // of an attempt before; told again, it would end this one
+      endpoint.releases.heard(set_up.call);  // release of an earlier attempt; repeated, it would end this one
       core_.attempt_transmitted();
       return true;
     }
@@ -122,10 +122,10 @@
   const bool left = found->second.left;
   endpoint.attempts.erase(found);
   const ConnectionPtr connection = endpoint.connection.lock();
-  if (!left || !connection) return;  // a set-up that waits for its turn is dropped then
-  // Lost with the connection, it would leave the endpoint with a call that nobody wants.
+  if (!left || !connection) return;  // a queued set-up is dropped by may_leave()
+  // Recorded for resending: if lost with the connection, the endpoint would hold a call without a caller.
   endpoint.releases.sent(call, release_message(call), net::now());
-  // A peer that does not read would get this too late: closing gives up what is open there at once.
+  // An endpoint that does not read would receive this too late: closing gives up its open set-ups at once.
   if (connection->blocked()) return connection->cut();
   connection->send(R"({"type":"give-up","call":")" + id_text(call) + "\"}");
 }
@@ -135,11 +135,11 @@
   send_release(endpoints_[office], call, release_message(call));
 }
 
-// On the connection, or owed to the next; it is kept until the endpoint must have read it.
+// Sends on the connection, or queues for the next; held until the endpoint must have read it.
 void Frontend::send_release(Endpoint& endpoint, CallId call, std::string message) {
   const ConnectionPtr connection = endpoint.connection.lock();
   if (!connection || !connection->accepts_output() || !connection->send(message)) {
-    endpoint.owed.emplace_back(call, std::move(message));
+    endpoint.pending_releases.emplace_back(call, std::move(message));
     return;
   }
   endpoint.releases.heard(call);
--- a/src/ws/frames.cpp
+++ b/src/ws/frames.cpp
@@ -13,10 +13,10 @@
 namespace reeltack::ws {
 namespace {
 
-constexpr std::size_t kMostHead = 8192;
-constexpr std::size_t kMostControl = 125;
+constexpr std::size_t kMaxHeadBytes = 8192;
+constexpr std::size_t kMaxControlPayload = 125;
 
-bool same(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() && ::strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 std::string_view trimmed(std::string_view text) {
@@ -24,11 +24,11 @@
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
-bool lists(std::string_view value, std::string_view token) {
+bool list_contains(std::string_view value, std::string_view token) {
   while (!value.empty()) {
     const std::string_view one = value.substr(0, value.find(','));
     value.remove_prefix(std::min(one.size() + 1, value.size()));
-    if (same(trimmed(one), token)) return true;
+    if (equal_ignoring_case(trimmed(one), token)) return true;
   }
   return false;
 }
@@ -45,7 +45,7 @@
   base64_encode_raw(out.data(), digest.size(), digest.data());
   return out;
 }
-bool is_key(std::string_view key) {  // base64 of 16 bytes
+bool is_valid_key(std::string_view key) {  // base64 of 16 bytes
   if (key.size() != 24) return false;
   base64_decode_ctx decode;
   base64_decode_init(&decode);
@@ -62,7 +62,7 @@
       0};
 }
 
-bool may_close_with(int code) {
+bool is_valid_close_code(int code) {
   return (code >= 1000 && code <= 1003) || (code >= 1007 && code <= 1011) || (code >= 3000 && code <= 4999);
 }
 
@@ -85,8 +85,8 @@
                          const std::vector<std::string>& origins) {
   const std::size_t end = text.find("\r\n\r\n");
   if (end == std::string_view::npos)
-    return text.size() > kMostHead ? rejected("431 Request Header Fields Too Large") : Handshake{};
-  if (end > kMostHead) return rejected("431 Request Header Fields Too Large");
+    return text.size() > kMaxHeadBytes ? rejected("431 Request Header Fields Too Large") : Handshake{};
+  if (end > kMaxHeadBytes) return rejected("431 Request Header Fields Too Large");
   std::string_view head = text.substr(0, end);
   const std::string_view first = head.substr(0, head.find("\r\n"));
   head.remove_prefix(std::min(first.size() + 2, head.size()));
@@ -110,12 +110,12 @@
     if (colon == std::string_view::npos || colon == 0) return rejected("400 Bad Request");
     const std::string_view name = line.substr(0, colon);
     const std::string_view value = trimmed(line.substr(colon + 1));
-    if (same(name, "Host")) host = !value.empty();
-    if (same(name, "Upgrade")) upgrade = upgrade || lists(value, "websocket");
-    if (same(name, "Connection")) connection = connection || lists(value, "upgrade");
-    if (same(name, "Sec-WebSocket-Version")) version = value == "13";
-    if (same(name, "Origin")) origin = value;
-    if (same(name, "Sec-WebSocket-Key")) {
+    if (equal_ignoring_case(name, "Host")) host = !value.empty();
+    if (equal_ignoring_case(name, "Upgrade")) upgrade = upgrade || list_contains(value, "websocket");
+    if (equal_ignoring_case(name, "Connection")) connection = connection || list_contains(value, "upgrade");
+    if (equal_ignoring_case(name, "Sec-WebSocket-Version")) version = value == "13";
+    if (equal_ignoring_case(name, "Origin")) origin = value;
+    if (equal_ignoring_case(name, "Sec-WebSocket-Key")) {
       if (!key.empty()) return rejected("400 Bad Request");
       key = value;
     }
@@ -124,8 +124,8 @@
   if (!upgrade || !connection)
     return rejected("426 Upgrade Required", "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n");
   if (!version) return rejected("426 Upgrade Required", "Sec-WebSocket-Version: 13\r\n");
-  if (!host || !is_key(key)) return rejected("400 Bad Request");
-  // Guards co-operatives' callers against a foreign web page that drives their browser.
+  if (!host || !is_valid_key(key)) return rejected("400 Bad Request");
+  // Guards callers against a foreign web page that drives their browser.
   if (!origin.empty() && !origins.empty() &&
       std::find(origins.begin(), origins.end(), origin) == origins.end())
     return rejected("403 Forbidden");
@@ -136,7 +136,7 @@
           end + 4};
 }
 
-std::optional<Message> Assembler::breach(int code) {
+std::optional<Message> Assembler::fail(int code) {
   fault_ = code;
   return std::nullopt;
 }
@@ -150,52 +150,51 @@
     const int opcode = byte(0) & 0x0f;
     const bool fin = (byte(0) & 0x80U) != 0;
     const bool control = opcode >= 8;
-    if ((byte(0) & 0x70U) != 0 || (opcode > 2 && opcode < 8) || opcode > kOpPong)
-      return breach(kProtocolError);
-    if (((byte(1) & 0x80U) != 0) != masked_) return breach(kProtocolError);  // a client's frames are masked
+    if ((byte(0) & 0x70U) != 0 || (opcode > 2 && opcode < 8) || opcode > kOpPong) return fail(kProtocolError);
+    if (((byte(1) & 0x80U) != 0) != masked_) return fail(kProtocolError);  // a client's frames are masked
     const std::size_t masking = masked_ ? 4 : 0;
     std::uint64_t length = byte(1) & 0x7fU;
     std::size_t at = 2;
-    if (control && (!fin || length > kMostControl)) return breach(kProtocolError);
+    if (control && (!fin || length > kMaxControlPayload)) return fail(kProtocolError);
     if (length >= 126) {
       const std::size_t bytes = length == 126 ? 2 : 8;
       if (rest.size() < at + bytes) return std::nullopt;
       length = 0;
       for (std::size_t i = 0; i < bytes; ++i) length = length << 8U | byte(at + i);
       at += bytes;
-      // The shortest form is demanded, and the highest bit stays clear.
-      if (length < (bytes == 2 ? 126U : 65536U) || length >> 63U != 0) return breach(kProtocolError);
+      // The shortest encoding is required, and the highest bit must be clear.
+      if (length < (bytes == 2 ? 126U : 65536U) || length >> 63U != 0) return fail(kProtocolError);
     }
-    if (opcode == 2) return breach(kNotUnderstood);
-    if (!control && (opcode == 0) != in_parts_) return breach(kProtocolError);
-    if (!control && parts_.size() + length > net::kMaxInputMessageBytes) return breach(kTooBig);
+    if (opcode == 2) return fail(kNotUnderstood);
+    if (!control && (opcode == 0) != fragmented_) return fail(kProtocolError);
+    if (!control && fragments_.size() + length > net::kMaxInputMessageBytes) return fail(kTooBig);
     if (rest.size() < at + masking + length) return std::nullopt;
     const std::string_view mask = rest.substr(at, masking);
     std::string payload(rest.substr(at + masking, length));
     for (std::size_t i = 0; masked_ && i < payload.size(); ++i)
       payload[i] = static_cast<char>(payload[i] ^ mask[i % 4]);
     used += at + masking + length;
-    if (control) return whole(opcode, std::move(payload));
-    parts_ += payload;
-    in_parts_ = !fin;
+    if (control) return finish_message(opcode, std::move(payload));
+    fragments_ += payload;
+    fragmented_ = !fin;
     if (!fin) continue;
-    return whole(1, std::exchange(parts_, {}));
+    return finish_message(1, std::exchange(fragments_, {}));
   }
   return std::nullopt;
 }
 
-std::optional<Message> Assembler::whole(int opcode, std::string payload) {
+std::optional<Message> Assembler::finish_message(int opcode, std::string payload) {
   if (opcode == kOpPing) return Message{Message::Kind::ping, std::move(payload), 0};
   if (opcode == kOpPong) return Message{Message::Kind::pong, std::move(payload), 0};
   if (opcode == kOpClose) {
     if (payload.empty()) return Message{Message::Kind::close, "", 0};
-    if (payload.size() < 2) return breach(kProtocolError);
+    if (payload.size() < 2) return fail(kProtocolError);
     const int code = static_cast<unsigned char>(payload[0]) << 8 | static_cast<unsigned char>(payload[1]);
-    if (!may_close_with(code)) return breach(kProtocolError);
-    if (!net::is_utf8(std::string_view(payload).substr(2))) return breach(kNotUtf8);
+    if (!is_valid_close_code(code)) return fail(kProtocolError);
+    if (!net::is_utf8(std::string_view(payload).substr(2))) return fail(kNotUtf8);
     return Message{Message::Kind::close, payload.substr(2), code};
   }
-  if (!net::is_utf8(payload)) return breach(kNotUtf8);
+  if (!net::is_utf8(payload)) return fail(kNotUtf8);
   return Message{Message::Kind::text, std::move(payload), 0};
 }
 
@@ -219,7 +218,7 @@
   const std::size_t end = text.find("\r\n\r\n");
   used = 0;
   if (end == std::string_view::npos)
-    return text.size() > kMostHead ? Handshake::Result::rejected : Handshake::Result::more;
+    return text.size() > kMaxHeadBytes ? Handshake::Result::rejected : Handshake::Result::more;
   used = end + 4;
   const std::string accept = "Sec-WebSocket-Accept: " + accept_key(std::string(key)) + "\r\n";
   const bool good =
@@ -229,7 +228,7 @@
 
 std::string text_frame(std::string_view payload) { return frame(1, payload); }
 std::string control_frame(int opcode, std::string_view payload) {
-  return frame(opcode, payload.substr(0, kMostControl));
+  return frame(opcode, payload.substr(0, kMaxControlPayload));
 }
 std::string close_frame(int code, std::string_view reason) {
   std::string payload{static_cast<char>(code >> 8), static_cast<char>(code)};
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -1,8 +1,10 @@
-// The second front: call control over WebSocket, for clients (/calls) and for endpoints (/centrales).
+// Second frontend: call control over WebSocket, for clients (/calls) and endpoints (/centrales).
 //
-// Owns: the JSON messages of docs/call-control.md, which connection hears of which call, and the endpoints
-//   that are registered here.
-// Must never: decide on a call, tie a call's life to a connection, or wait for a peer that does not read.
+// Handles the JSON messages of docs/call-control.md, and holds which connection is notified about which call
+// and which endpoints are registered here. Decisions on calls are the core's. A call is not tied to a
+// connection, and nothing waits for a peer that does not read.
+//
+// Threads: a mutex guards the tables; public functions may be called from any thread.
 #pragma once
 
 #include <map>
@@ -26,23 +28,25 @@
     std::size_t connections = 128;
   };
   Frontend(core::Core& core, core::OfficeList& list, Setup setup);
-  void open(const net::Address& at) { door_.open(at); }  // throws std::runtime_error
-  void yield(std::size_t most) { door_.yield(most); }    // to a successor, if one listens beside this program
-  // The end: clients' connections once no set-up is open on them, then those in the middle of a message as
-  // well. Endpoints keep theirs until close_all(), for calls that are still to be answered need them.
+  void open(const net::Address& at) { listener_.open(at); }  // throws std::runtime_error
+  void yield(std::size_t max_connections) {
+    listener_.yield(max_connections);
+  }  // to a successor process, if one listens
+  // Shutdown: closes clients' connections once no set-up is open on them, then those with a partial message
+  // as well. Endpoints keep theirs until close_all(), because calls that are not answered yet need them.
   void close_clients();
   void close_clients_now();
   [[nodiscard]] bool clients_closed();
-  void close_all() { door_.close_all(); }
-  [[nodiscard]] bool owns(ServerId office);  // it is an endpoint of this front
+  void close_all() { listener_.close_all(); }
+  [[nodiscard]] bool owns(ServerId office);  // the office is an endpoint registered here
 
-  // For callers.
+  // CallerFrontend.
   bool stands(CallId call, const std::string& description) override;
   void refused(CallId call, core::Why why, Duration later) override;
   void released(CallId call, int cause) override;
   void over(CallId call) override;
 
-  // For endpoints. What is listed elsewhere does not concern them.
+  // OfficeBackend. Offices of other sources do not concern this frontend.
   void listed(bool /*complete*/, const std::vector<core::OfficeEntry>& /*offices*/) override {}
   void start(const core::SetUp& set_up) override;
   void give_up(ServerId office, CallId call, std::uint32_t attempt) override;
@@ -54,42 +58,43 @@
   using ConnectionPtr = std::shared_ptr<Connection>;
   struct Attempt {
     std::uint32_t number = 0;
-    bool left = false;  // its set-up is on the way; else it waits for its connection's turn
+    bool left = false;  // the set-up was written; otherwise it is queued on its connection
   };
   struct Endpoint {
     core::OfficeEntry entry;
     std::weak_ptr<Connection> connection;
     std::map<CallId, Attempt> attempts;
-    membership::Releases releases;                     // that were sent on the connection
-    std::vector<std::pair<CallId, std::string>> owed;  // releases for the next connection
+    membership::Releases releases;                                 // sent on the connection
+    std::vector<std::pair<CallId, std::string>> pending_releases;  // releases for the next connection
   };
   void from_client(const ConnectionPtr& from, const net::Json& message);
   void set_up(const ConnectionPtr& from, const net::Json& message, CallId call);
   void status(const ConnectionPtr& from, CallId call);
   void from_endpoint(const ConnectionPtr& from, const net::Json& message);
   void change_state(const ConnectionPtr& from, ServerId id, ServerState state);
-  void about_call(const ConnectionPtr& from, ServerId id, const net::Json& message);
+  void handle_call_message(const ConnectionPtr& from, ServerId id, const net::Json& message);
   void register_endpoint(const ConnectionPtr& from, const net::Json& message);
-  // False: the endpoint has another connection that is up.
-  bool bind(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry);
-  void notice_end(ServerId id, const ConnectionPtr& registering);
+  // False: the endpoint has another connection, or the connection another endpoint.
+  bool bind_connection(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry);
+  void read_previous_to_end(ServerId id, const ConnectionPtr& registering);
   void endpoint_lost(const ConnectionPtr& connection);
-  void forget_if_away(core::OfficeEntry entry);
-  // With the lock held.
+  void remove_if_disconnected(core::OfficeEntry entry);
+  // Requires the lock.
   ConnectionPtr connection_of(ServerId id);
   static void send_release(Endpoint& endpoint, CallId call, std::string message);
   void send_about(CallId call, std::string_view fields, bool last);
-  // Of a set-up whose message says that `told_ms` are left; writes it anew where less is left now.
-  bool may_leave(const core::SetUp& set_up, std::int64_t told_ms, std::string& message);
+  // Last check before a set-up is written. `sent_ms`: remaining time in `message`, rewritten if less remains
+  // now.
+  bool may_leave(const core::SetUp& set_up, std::int64_t sent_ms, std::string& message);
   [[nodiscard]] std::string set_up_message(const core::SetUp& set_up, std::int64_t left_ms) const;
 
   core::Core& core_;
   core::OfficeList& list_;
   const Setup setup_;
   std::mutex lock_;
-  std::unordered_map<CallId, std::weak_ptr<Connection>> listening_;  // who hears of the call
+  std::unordered_map<CallId, std::weak_ptr<Connection>> subscribers_;  // connection notified about the call
   std::map<ServerId, Endpoint> endpoints_;
-  net::ConnectionListener door_;  // last: its connections end before what they use
+  net::ConnectionListener listener_;  // last: its connections end before the members that they use
 };
 
 }  // namespace reeltack::ws
--- a/src/ws/messages.h
+++ b/src/ws/messages.h
@@ -1,7 +1,4 @@
-// Fields and names of the JSON messages of docs/call-control.md.
-//
-// Owns: how a field is read where it may be missing, and the words for results, reasons and states.
-// Must never: know a connection, or what follows from a message.
+// Fields and enumeration texts of the JSON messages of docs/call-control.md. Pure functions without state.
 #pragma once
 
 #include <optional>
@@ -17,7 +14,7 @@
 const char* result_text(core::Why why);  // the named result of a final answer
 std::string id_text(CallId call);
 
-std::string text_field(const base::Json& message, const char* key);  // empty: missing, or no string
+std::string text_field(const base::Json& message, const char* key);  // empty: missing, or not a string
 std::optional<double> number_field(const base::Json& message, const char* key);
 LoadReport load_report(const base::Json& message);
 std::string release_message(CallId call);  // to an endpoint
--- a/src/ws/registrations.cpp
+++ b/src/ws/registrations.cpp
@@ -1,4 +1,4 @@
-// Endpoints that register on the front, lose their connection, and come back or stay away.
+// Registration of endpoints, loss of their connections, and their return or removal.
 #include "ws/connection.h"
 #include "ws/messages.h"
 
@@ -9,9 +9,10 @@
 using net::Json;
 using net::quoted;
 
-constexpr Duration kAway = 6s;  // an endpoint without a connection for so long has lost its calls
-// Turns in which a connection whose end the kernel holds is read to that end: more than a receive buffer has.
-constexpr int kMostTurns = 4096;
+// An endpoint that has no connection for this long has lost its calls.
+constexpr Duration kReconnectTimeout = 6s;
+// Bound on the events needed to read a closed connection to its end: more than a receive buffer can hold.
+constexpr int kMaxEvents = 4096;
 
 }  // namespace
 
@@ -40,15 +41,16 @@
                  .capacity = capacity,
                  .start = StartId{static_cast<std::uint64_t>(started)}};
   entry.address = "registered";
-  notice_end(*id, from);
-  if (!bind(from, name, entry)) {
+  read_previous_to_end(*id, from);
+  if (!bind_connection(from, name, entry)) {
     from->send(error_message("duplicate-id"));
     return;
   }
   list_.told(core::Source::registered, false, {entry});
 }
 
-bool Frontend::bind(const ConnectionPtr& from, const std::string& name, const core::OfficeEntry& entry) {
+bool Frontend::bind_connection(const ConnectionPtr& from, const std::string& name,
+                               const core::OfficeEntry& entry) {
   const ServerId id = entry.entry.server;
   const std::lock_guard hold(lock_);
   const ConnectionPtr before = connection_of(id);
@@ -58,15 +60,16 @@
   endpoint.connection = from;
   from->endpoint = id;
   from->send(R"({"type":"registered","centrale":)" + quoted(name) + "}");
-  for (auto& [call, release] : std::exchange(endpoint.owed, {})) send_release(endpoint, call, release);
+  for (auto& [call, release] : std::exchange(endpoint.pending_releases, {}))
+    send_release(endpoint, call, release);
   return true;
 }
 
-// The endpoint registers on a new connection, and the kernel may hold the end of the one before, which the
-// loop has not come to: that is read to its end first, for what lies there was said before. On the loop's
-// thread, as every turn.
-void Frontend::notice_end(ServerId id, const ConnectionPtr& registering) {
-  for (int turns = 0; turns < kMostTurns; ++turns) {
+// The endpoint registers on a new connection while the end of the previous one may be in the kernel, not yet
+// handled by the loop: that one is read to its end first, because its messages are older. Runs on the loop's
+// thread, like every event.
+void Frontend::read_previous_to_end(ServerId id, const ConnectionPtr& registering) {
+  for (int events = 0; events < kMaxEvents; ++events) {
     ConnectionPtr before;
     {
       const std::lock_guard hold(lock_);
@@ -82,7 +85,8 @@
   return found == endpoints_.end() ? nullptr : found->second.connection.lock();
 }
 
-// A client's calls go on; an endpoint's set-ups in the air broke, and it gets nothing new until it is back.
+// A client's calls go on. An endpoint's unanswered set-ups have failed, and it gets no new ones until it
+// returns.
 void Frontend::endpoint_lost(const ConnectionPtr& connection) {
   std::map<CallId, Attempt> attempts;
   core::OfficeEntry entry;
@@ -95,21 +99,22 @@
     attempts.swap(endpoint.attempts);
     if (endpoint.entry.entry.state == ServerState::ready) endpoint.entry.entry.state = ServerState::draining;
     entry = endpoint.entry;
-    for (auto& release : endpoint.releases.ended(net::now())) endpoint.owed.push_back(std::move(release));
-    // It may have answered, and the answer be lost: then it would hold the call for ever.
+    for (auto& release : endpoint.releases.ended(net::now()))
+      endpoint.pending_releases.push_back(std::move(release));
+    // The endpoint may have answered, and if the answer was lost it would hold the call for ever.
     for (const auto& [call, attempt] : attempts) {
-      if (attempt.left) endpoint.owed.emplace_back(call, release_message(call));
+      if (attempt.left) endpoint.pending_releases.emplace_back(call, release_message(call));
     }
   }
   list_.told(core::Source::registered, false, {entry});
   for (const auto& [call, attempt] : attempts)
     core_.attempt_failed(call, attempt.number,
                          attempt.left ? AttemptOutcome::reset : AttemptOutcome::not_sent);
-  // No connection owns a standing call; but an endpoint that stays away holds none any more.
-  core_.at(net::now() + kAway, [this, entry] { forget_if_away(entry); });
+  // An established call is not tied to a connection, but an endpoint that does not return has lost its calls.
+  core_.at(net::now() + kReconnectTimeout, [this, entry] { remove_if_disconnected(entry); });
 }
 
-void Frontend::forget_if_away(core::OfficeEntry entry) {
+void Frontend::remove_if_disconnected(core::OfficeEntry entry) {
   {
     const std::lock_guard hold(lock_);
     const auto found = endpoints_.find(entry.entry.server);
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -1,4 +1,4 @@
-// The link to one office, turned by hand between what an office does: what crosses the end of a connection.
+// The link to one office, driven event by event: messages that cross the end of a connection.
 #include "platform/link.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +18,8 @@
 
 constexpr ServerId kOffice{10};
 
-// Callers of calls from before the start: whoever an office releases is noted.
-class Strays final : public core::CallerFrontend {
+// Records which calls from before the start were released by an office.
+class UnknownCallReleases final : public core::CallerFrontend {
  public:
   bool stands(CallId /*call*/, const std::string& /*description*/) override { return true; }
   void refused(CallId /*call*/, core::Why /*why*/, Duration /*later*/) override {}
@@ -49,30 +49,29 @@
   void keep(ServerId /*office*/, bool /*calls_established*/) override {}
 };
 
-// The loop's thread is not started: a turn comes when the test gives it, so that what crosses, crosses each
-// time.
+// The loop's thread is not started: the test delivers each event, so that crossings occur on every run.
 class Link : public ::testing::Test {
  protected:
   void SetUp() override {
     Settings settings;
     settings.classes.push_back({.aim = 2s, .deadline = 9s});
     core_ = std::make_unique<core::Core>(settings, 1);
-    core_->start(offices_, &strays_);
+    core_->start(offices_, &releases_);
     address_ = {"127.100.7." + std::to_string(1 + ::getpid() % 250),
                 static_cast<std::uint16_t>(20000 + ::getpid() % 20000)};
     listening_ = net::listen_on(address_);
     link_ = std::make_shared<platform::OfficeLink>(*core_, loop_, kOffice, 500ms);
     link_->begin();
-    tell(ServerState::ready);
+    list_office(ServerState::ready);
   }
   void TearDown() override { core_->stop(); }
-  void tell(ServerState state) {
+  void list_office(ServerState state) {
     link_->listed({{.server = kOffice, .place = 0, .state = state}, net::to_text(address_)});
   }
   // The link dials, and its connection comes up.
   net::Fd connect() {
     net::Fd out;
-    for (int turns = 0; !out && turns < 1000; ++turns) {
+    for (int events = 0; !out && events < 1000; ++events) {
       link_->handle_event(false);
       out = net::accept_one(listening_, net::now() + 10ms);
     }
@@ -80,26 +79,26 @@
     EXPECT_TRUE(static_cast<bool>(out));
     return out;
   }
-  // Calls stand there and nothing has come for so long that a second connection is dialled: it is there, and
-  // the link does not know yet.
-  net::Fd asked() {
+  // With calls established and the connection quiet for long enough, a second connection is dialled. It is
+  // up, and the link has not noticed yet.
+  net::Fd second_connection() {
     link_->keep(true);
     net::Fd out;
-    for (int turns = 0; !out && turns < 1000; ++turns) {
+    for (int events = 0; !out && events < 1000; ++events) {
       link_->handle_event(false);
       out = net::accept_one(listening_, net::now() + 10ms);
     }
     EXPECT_TRUE(static_cast<bool>(out));
     return out;
   }
-  static void say_over(const net::Fd& to, std::uint64_t call) {
+  static void send_finish(const net::Fd& to, std::uint64_t call) {
     net::write_all(to, platform::finish_line(CallId{call}));
   }
-  void turns() {
+  void handle_events() {
     for (int i = 0; i < 20; ++i) link_->handle_event(true);
   }
-  // All that has come on `from` until it is quiet, with turns of the link meanwhile.
-  std::string heard(const net::Fd& from) {
+  // All input on `from` until it is quiet for 200 ms.
+  std::string receive_all(const net::Fd& from) {
     std::string out;
     for (char chunk[4096]; net::readable(from, net::now() + 200ms);) {
       const ssize_t n = ::recv(from.get(), chunk, sizeof chunk, 0);
@@ -109,7 +108,7 @@
     return out;
   }
 
-  Strays strays_;
+  UnknownCallReleases releases_;
   NoOffices offices_;
   std::unique_ptr<core::Core> core_;
   net::Address address_;
@@ -118,79 +117,80 @@
   std::shared_ptr<platform::OfficeLink> link_;
 };
 
-// The first connection ends while the second one, which asks whether the office is there, is up already: an
-// office sends what it owes on the next one that is opened, so the second one is read and not closed.
-TEST_F(Link, ReleaseOnTheSecondConnectionIsTakenWhereTheFirstEnds) {
+// The first connection ends while the second, which probes the office, is up already: an office sends pending
+// releases on the next connection opened, so the second one is read and not closed.
+TEST_F(Link, ReleaseOnTheSecondConnectionIsAcceptedIfTheFirstEnds) {
   net::Fd first = connect();
-  const net::Fd second = asked();
+  const net::Fd second = second_connection();
   first.reset();
-  say_over(second, 7);
-  turns();
-  EXPECT_TRUE(strays_.await(CallId{7}));
+  send_finish(second, 7);
+  handle_events();
+  EXPECT_TRUE(releases_.await(CallId{7}));
 }
 
-// The same where the first one speaks again, so that the second is not needed.
-TEST_F(Link, ReleaseOnTheSecondConnectionIsTakenWhereTheFirstSpeaksAgain) {
+// The same where the first connection delivers again, so that the second is not needed.
+TEST_F(Link, ReleaseOnTheSecondConnectionIsAcceptedIfTheFirstDeliversAgain) {
   const net::Fd first = connect();
-  const net::Fd second = asked();
-  say_over(second, 7);
-  say_over(first, 8);
-  turns();
-  EXPECT_TRUE(strays_.await(CallId{8}));
-  EXPECT_TRUE(strays_.await(CallId{7}));
+  const net::Fd second = second_connection();
+  send_finish(second, 7);
+  send_finish(first, 8);
+  handle_events();
+  EXPECT_TRUE(releases_.await(CallId{8}));
+  EXPECT_TRUE(releases_.await(CallId{7}));
 }
 
-// The first one is quiet and the second takes its place: what was on its way on the first is taken still.
-TEST_F(Link, ReleaseThatCrossesTheEndOfAQuietConnectionIsTaken) {
+// The second connection replaces the quiet first one: input in flight on the first is still accepted.
+TEST_F(Link, ReleaseThatCrossesTheEndOfAQuietConnectionIsAccepted) {
   const net::Fd first = connect();
-  const net::Fd second = asked();
-  link_->handle_event(true);  // the second one has taken its place
-  say_over(first, 7);
-  turns();
-  EXPECT_TRUE(strays_.await(CallId{7}));
+  const net::Fd second = second_connection();
+  link_->handle_event(true);  // the second one has replaced it
+  send_finish(first, 7);
+  handle_events();
+  EXPECT_TRUE(releases_.await(CallId{7}));
 }
 
-// A call's answer that crosses is nobody's any more: the set-up was given up with its connection. Bytes that
-// mean nothing end what is still read, and nothing else.
-TEST_F(Link, OnAConnectionThatWasLeftSpoiltBytesCostNothing) {
+// Malformed bytes on a connection that was left end the reading of that connection and nothing else: answers
+// there no longer matter, since its set-ups were given up with it.
+TEST_F(Link, MalformedBytesOnALeftConnectionHaveNoEffect) {
   const net::Fd first = connect();
-  const net::Fd second = asked();
+  const net::Fd second = second_connection();
   link_->handle_event(true);
   net::write_all(first, "noise\n");
-  turns();
-  say_over(second, 7);
-  turns();
-  EXPECT_TRUE(strays_.await(CallId{7}));
+  handle_events();
+  send_finish(second, 7);
+  handle_events();
+  EXPECT_TRUE(releases_.await(CallId{7}));
 }
 
-// A release of ours on a connection that is cut off goes again on the one that takes its place, and on that
-// of an office that hangs up at once; not to another process.
-TEST_F(Link, ReleaseOfOursGoesAgainOnTheNextConnection) {
+// A release sent on a connection that is partitioned is repeated on its replacement, and again on the next
+// one if the office closes that at once. It is not sent to another process.
+TEST_F(Link, OurReleaseIsRepeatedOnTheNextConnection) {
   {
     const net::Fd first = connect();
     link_->release(CallId{7});
-    net::Fd second = asked();
+    net::Fd second = second_connection();
     link_->handle_event(true);
-    EXPECT_NE(heard(second).find("0000000000000007"), std::string::npos);
+    EXPECT_NE(receive_all(second).find("0000000000000007"), std::string::npos);
   }
-  link_->handle_event(true);  // it hears of both ends
+  link_->handle_event(true);  // it detects both ends
   net::pause_until(net::now() + 30ms);
   const net::Fd third = connect();
-  EXPECT_NE(heard(third).find("0000000000000007"), std::string::npos) << "its reader had hung up within 1 s";
+  EXPECT_NE(receive_all(third).find("0000000000000007"), std::string::npos)
+      << "its reader had hung up within 1 s";
 }
 
-TEST_F(Link, ReleaseOfOursDoesNotGoToTheNextProcess) {
+TEST_F(Link, OurReleaseIsNotSentToTheNextProcess) {
   net::Fd first = connect();
   link_->release(CallId{7});
   link_->listed({{.server = kOffice, .place = 0, .start = StartId{5000}}, net::to_text(address_)});
   link_->handle_event(true);
   net::pause_until(net::now() + 30ms);
   const net::Fd second = connect();
-  EXPECT_EQ(heard(second), "");
+  EXPECT_EQ(receive_all(second), "");
 }
 
-// What a START on the wire says is left for a call; -1: none came.
-class LeftOnTheWire : public Link {
+// The remaining time stated in a START message; -1: none was received.
+class RemainingTime : public Link {
  protected:
   static core::SetUp set_up(std::uint64_t call, Time give_up, std::string description = "d") {
     core::SetUp out;
@@ -208,8 +208,8 @@
     receive_buffer(4096);
     return connect();
   }
-  // Set-ups until one no longer leaves, for its peer reads nothing; then a small one behind it: that one's
-  // call.
+  // Sends set-ups until one is no longer written, because the peer does not read, then a small one behind it.
+  // Returns the call of the last.
   std::uint64_t queue_behind_others(Time give_up) {
     const std::string filler(40'000, 'f');
     std::uint64_t call = 1;
@@ -226,20 +226,20 @@
   }
 };
 
-// A set-up that waits for a connection says, once there is one, what its caller still has, not what it had.
-TEST_F(LeftOnTheWire, IsWhatIsLeftAsTheSetUpLeaves) {
+// A set-up that waited for a connection states the time remaining as it is written, not as it was queued.
+TEST_F(RemainingTime, IsWhatIsLeftAsTheSetUpLeaves) {
   const Time give_up = net::now() + 60s;
   ASSERT_TRUE(link_->start(set_up(1, give_up), "voice"));
   net::pause_until(net::now() + 200ms);
   const Time before = net::now();
   const net::Fd up = connect();
-  const auto left = left_in(heard(up), 1);
+  const auto left = left_in(receive_all(up), 1);
   EXPECT_GT(left, 0ms);
   EXPECT_LE(left, give_up - before);
 }
 
-// Queued behind what its peer does not read for a while.
-TEST_F(LeftOnTheWire, IsWhatIsLeftAfterAWaitInTheQueue) {
+// The same for a set-up queued behind output that its peer does not read for a while.
+TEST_F(RemainingTime, IsWhatIsLeftAfterAWaitInTheQueue) {
   const Time give_up = net::now() + 60s;
   net::Fd up = connect_to_a_slow_reader();
   const std::uint64_t call = queue_behind_others(give_up);
@@ -252,15 +252,15 @@
     const ssize_t n = came ? ::recv(up.get(), chunk, sizeof chunk, 0) : 0;
     if (n > 0) lines.append(chunk, static_cast<std::size_t>(n));
     link_->handle_event(true);
-    // It had not read for 2 s, on a machine that stood still: the connection was ended, and the next is used.
+    // On a stalled machine the peer did not read for 2 s: the connection was ended, and the next is used.
     if (came && n <= 0) up = connect();
   }
   EXPECT_GT(left_in(lines, call), 0ms);
   EXPECT_LE(left_in(lines, call), give_up - before);
 }
 
-// The same until that connection breaks: it goes on the next one.
-TEST_F(LeftOnTheWire, IsWhatIsLeftOnTheConnectionAfterABreak) {
+// The same where that connection breaks: the set-up goes on the next one.
+TEST_F(RemainingTime, IsWhatIsLeftOnTheConnectionAfterABreak) {
   const Time give_up = net::now() + 60s;
   net::Fd first = connect_to_a_slow_reader();
   const std::uint64_t call = queue_behind_others(give_up);
@@ -273,19 +273,19 @@
   link_->handle_event(true);
   net::pause_until(net::now() + 30ms);
   const net::Fd second = connect();
-  const auto left = left_in(heard(second), call);
+  const auto left = left_in(receive_all(second), call);
   EXPECT_GT(left, 0ms);
   EXPECT_LE(left, give_up - before);
 }
 
-// Less than a millisecond can't be said on the wire: it does not leave.
-TEST_F(LeftOnTheWire, IsNeverMoreThanThereIs) {
+// Less than a millisecond cannot be expressed on the wire, so the set-up is not sent.
+TEST_F(RemainingTime, IsNeverMoreThanThereIs) {
   EXPECT_EQ(platform::whole_ms_left(Time{10s}, Time{10s} - 1500us), 1);
   EXPECT_EQ(platform::whole_ms_left(Time{10s}, Time{10s} - 999us), 0);
   EXPECT_EQ(platform::whole_ms_left(Time{10s}, Time{10s} + 1us), -1);
   ASSERT_TRUE(link_->start(set_up(1, net::now()), "voice"));
   const net::Fd up = connect();
-  EXPECT_EQ(heard(up), "");
+  EXPECT_EQ(receive_all(up), "");
 }
 
 }  // namespace
