--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -30,13 +30,13 @@
       if (held.size() < 2 || held.size() < 2 + length) return Next::more;
       const std::string answer = updates_.answer(held.substr(2, length));
       buffer_.take(2 + length);
-      whole();
+      message_complete();
       std::string out{static_cast<char>(answer.size() >> 8U), static_cast<char>(answer.size())};
       if (!push(out + answer)) return Next::end;
     }
   }
-  Next quiet() override { return Next::end; }
-  void left(const std::set<CallId>& /*open*/) override {}
+  Next on_quiet() override { return Next::end; }
+  void on_left(const std::set<CallId>& /*open*/) override {}
 
  private:
   UpdateServer& updates_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -187,8 +187,8 @@
                 " attempts");
   const auto& d = sip.connections();
   net::log_line("connections: " + std::to_string(d.accepted) + " let in; ended at a limit: " +
-                std::to_string(d.late) + " late, " + std::to_string(d.unread) + " left unread, " +
-                std::to_string(d.room) + " for room, " + std::to_string(d.cut) + " with a full queue");
+                std::to_string(d.timeout) + " late, " + std::to_string(d.unread) + " left unread, " +
+                std::to_string(d.evicted) + " for room, " + std::to_string(d.dropped) + " with a full queue");
   return 0;
 }
 
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -71,7 +71,7 @@
   const std::lock_guard hold(lock_);
   Peer* kept = nullptr;
   for (const auto& [p, held] : peers_) {
-    if (p->accepts_output() && (kept == nullptr || p->heard() > kept->heard())) kept = p;
+    if (p->accepts_output() && (kept == nullptr || p->last_received() > kept->last_received())) kept = p;
   }
   for (const auto& [p, held] : peers_) {
     if (p != kept) p->close(false);
@@ -162,10 +162,10 @@
   if (found == peers_.end()) return;
   ended = std::move(found->second);
   peers_.erase(found);
-  if (peer.end_reason() == Peer::EndReason::timeout) ++counts_.late;
+  if (peer.end_reason() == Peer::EndReason::timeout) ++counts_.timeout;
   if (peer.end_reason() == Peer::EndReason::unread) ++counts_.unread;
-  if (peer.end_reason() == Peer::EndReason::evicted) ++counts_.room;
-  if (peer.end_reason() == Peer::EndReason::dropped) ++counts_.cut;
+  if (peer.end_reason() == Peer::EndReason::evicted) ++counts_.evicted;
+  if (peer.end_reason() == Peer::EndReason::dropped) ++counts_.dropped;
   changed_.notify_all();
 }
 
@@ -186,10 +186,10 @@
       continue;
     }
     const Peer::EvictionRank rank = p->eviction_rank();
-    if (rank != Peer::EvictionRank::in_use) candidates.emplace_back(rank, p->heard(), p);
+    if (rank != Peer::EvictionRank::in_use) candidates.emplace_back(rank, p->last_received(), p);
   }
   std::sort(candidates.begin(), candidates.end());
-  for (const auto& [rank, heard, p] : candidates) {
+  for (const auto& [rank, last_received, p] : candidates) {
     if (excess-- == 0) return;
     p->evict();
   }
@@ -199,7 +199,7 @@
   const std::lock_guard hold(lock_);
   std::vector<std::pair<Time, Peer*>> open;
   for (const auto& [p, held] : peers_) {
-    if (p->accepts_output()) open.emplace_back(p->heard(), p);
+    if (p->accepts_output()) open.emplace_back(p->last_received(), p);
   }
   std::sort(open.rbegin(), open.rend());
   return std::any_of(open.begin(), open.end(), [&takes](const auto& p) { return takes(*p.second); });
--- a/src/net/door.h
+++ b/src/net/door.h
@@ -46,7 +46,7 @@
   // Connections accepted, and those ended at a limit: a message not complete in time, answers left
   // unread, eviction in favour of others, a full output queue.
   struct Counts {
-    std::atomic<std::uint64_t> accepted{0}, late{0}, unread{0}, room{0}, cut{0};
+    std::atomic<std::uint64_t> accepted{0}, timeout{0}, unread{0}, evicted{0}, dropped{0};
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   // Offers something to the open connections, the most recently active first, until one takes it;
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -51,7 +51,7 @@
   if (got == ReadResult::closed) return end_reading(broken());
   if (got == ReadResult::no_data) return;
   const Time at = now();
-  heard_ = at.time_since_epoch().count();
+  last_received_ = at.time_since_epoch().count();
   patience_.came(at);
   const Next next = received();
   patience_.in_hand(!buffer_.view().empty());
@@ -88,11 +88,11 @@
     case limits::PeerTimeout::unread:
       return abandon_open(EndReason::unread);
     case limits::PeerTimeout::late:
-      late();
+      on_timeout();
       return end_reading(EndReason::timeout);
     case limits::PeerTimeout::quiet:
       patience_.asked(at);
-      if (quiet() == Next::end) end_reading(EndReason::local);
+      if (on_quiet() == Next::end) end_reading(EndReason::local);
   }
 }
 
@@ -169,7 +169,7 @@
       outbox_.behind() || fd_.unread())
     return EvictionRank::in_use;
   if (!patience_.served())
-    return heard() + kFirstMessageGrace < now() ? EvictionRank::silent : EvictionRank::in_use;
+    return last_received() + kFirstMessageGrace < now() ? EvictionRank::silent : EvictionRank::in_use;
   return established_.empty() ? EvictionRank::idle : EvictionRank::established;
 }
 void Peer::evict() {
@@ -187,7 +187,7 @@
   closing_ = Closing::despite_input;
   loop_->wake(id_);
 }
-void Peer::whole() { patience_.whole(now()); }
+void Peer::message_complete() { patience_.whole(now()); }
 Peer::Next Peer::hang_up() {
   drain_input_ = true;
   return Next::end;
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -24,7 +24,7 @@
 // One accepted connection; frontends derive from it.
 class Peer : public EventHandler, public std::enable_shared_from_this<Peer> {
  public:
-  // `quiet`: the silence after which quiet() is called; max: never.
+  // `quiet`: the silence after which on_quiet() is called; max: never.
   explicit Peer(Fd fd, Duration quiet = Duration::max());
 
   // `over` is called once, on the loop's thread, when the connection has ended and may be released.
@@ -49,7 +49,7 @@
   // Order of eviction: the first are evicted first; in_use: not at present.
   enum class EvictionRank { silent, idle, established, in_use };
   [[nodiscard]] EvictionRank eviction_rank() const;
-  [[nodiscard]] Time heard() const { return Time{Duration{heard_.load()}}; }
+  [[nodiscard]] Time last_received() const { return Time{Duration{last_received_.load()}}; }
   // Ends the connection at once in favour of others, if it may still be evicted. The caller sends again what
   // crosses the end.
   void evict();
@@ -74,23 +74,23 @@
   // Bytes have arrived: consumes every complete message in the buffer.
   virtual Next received() = 0;
   // The message in the buffer, or the first one, was not complete in time; a last message may be pushed.
-  virtual void late() {}
+  virtual void on_timeout() {}
   // Whether input that arrives after our own orderly end is passed to received_after_close(): it can no
   // longer be answered, but may concern other connections. Otherwise it is dropped.
   [[nodiscard]] virtual bool takes_after_close() const { return false; }
   virtual void received_after_close() {}
   // Nothing has arrived for the quiet period; called again after each further one.
-  virtual Next quiet() { return Next::more; }
+  virtual Next on_quiet() { return Next::more; }
   // Called once with the set-ups open here: the far end has closed, or nothing more is read or answered.
-  virtual void left(const std::set<CallId>& open) = 0;
+  virtual void on_left(const std::set<CallId>& open) = 0;
   // Called once as the connection ends, if there are any: established calls whose answers were not completely
   // written, so that the far end does not know of them.
-  virtual void unanswered(const std::set<CallId>& /*established*/) {}
+  virtual void on_unanswered(const std::set<CallId>& /*established*/) {}
   // Whether open set-ups are answered before the connection ends when its far end has closed only its own
   // direction or sent a malformed message. Otherwise they are abandoned with the last read.
   [[nodiscard]] virtual bool answers_open() const { return false; }
 
-  void whole();    // a complete message was consumed
+  void message_complete();  // a complete message was consumed
   Next hang_up();  // ends after the queued answer, discarding further input so that the answer arrives
   Buffer buffer_;
 
@@ -138,7 +138,7 @@
   std::set<CallId> open_;
   std::set<CallId> established_;
   std::set<CallId> unwritten_;  // of these, calls whose answer is not completely written
-  std::atomic<Duration::rep> heard_{connected_.time_since_epoch().count()};
+  std::atomic<Duration::rep> last_received_{connected_.time_since_epoch().count()};
   std::atomic<bool> evicting_{false};
   std::atomic<bool> answering_{false};  // set before open_ is read, so that the last answer wakes the loop
   enum class Closing { no, when_idle, now, despite_input };
--- a/src/net/peer_ending.cpp
+++ b/src/net/peer_ending.cpp
@@ -72,7 +72,7 @@
     const std::lock_guard hold(lock_);
     open = open_;
   }
-  left(open);
+  on_left(open);
 }
 
 // Once nothing is queued, all answers have been written completely.
@@ -139,7 +139,7 @@
     const std::lock_guard hold(lock_);
     unwritten.swap(unwritten_);
   }
-  if (!unwritten.empty()) unanswered(unwritten);
+  if (!unwritten.empty()) on_unanswered(unwritten);
   if (ended_) ended_(*this);
 }
 
--- a/src/platform/link_dial.cpp
+++ b/src/platform/link_dial.cpp
@@ -41,7 +41,7 @@
   if (at < shortage_deadline_) return;
   shortage_deadline_ = net::kNever;
   net::log_line("endpoint " + net::office_name(id_) +
-                ": no port, route, descriptor or memory on this host for a connection");
+                ": no port, route, descriptor or memory on this host for a connection to it");
   for (const auto& [call, open] : std::exchange(open_, {}))
     core_.attempt_failed(call, open.set_up.attempt, AttemptOutcome::not_sent);
 }
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -37,7 +37,7 @@
         push("SIP/2.0 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
         return hang_up();
       }
-      whole();
+      message_complete();
       // The end of the message is known, so the following ones can still be parsed.
       if (!front_.handle_message(self, message)) push(sip_answer(400, "Bad Request", message.echoed()));
     }
@@ -55,15 +55,15 @@
       front_.handle_after_close(*this, message);
     }
   }
-  void late() override {
+  void on_timeout() override {
     push("SIP/2.0 408 Request Timeout\r\nContent-Length: 0\r\n\r\n");
     hang_up();
   }
-  void left(const std::set<CallId>& open) override {
+  void on_left(const std::set<CallId>& open) override {
     for (const CallId call : open) front_.requester_left(*this, call);
     front_.resend_unread(*this);
   }
-  void unanswered(const std::set<CallId>& established) override {
+  void on_unanswered(const std::set<CallId>& established) override {
     for (const CallId call : established) front_.core_.release(call, front_);
   }
   [[nodiscard]] bool answers_open() const override { return true; }
--- a/src/ws/connection.cpp
+++ b/src/ws/connection.cpp
@@ -35,13 +35,13 @@
     if (handshake.result == Handshake::Result::rejected) return hang_up();
     path_ = handshake.path;
     serves_endpoint_ = path_ == kEndpoints;
-    whole();
+    message_complete();
   }
   for (;;) {
     std::size_t used = 0;
     const std::optional<Message> message = assembler_.next(buffer_.view(), used);
     buffer_.take(used);
-    if (used > 0) whole();
+    if (used > 0) message_complete();
     if (assembler_.fault() != 0) {
       send_close(assembler_.fault());
       return hang_up();
@@ -78,13 +78,13 @@
   }
 }
 
-void Connection::late() {
+void Connection::on_timeout() {
   if (path_.empty()) return;
   send_close(kProtocolError, "late");  // incomplete frame
   hang_up();
 }
 
-net::Peer::Next Connection::quiet() {
+net::Peer::Next Connection::on_quiet() {
   if (pinged_) {  // the ping was not answered either
     send_close(kGoingAway, "silent");
     return Next::end;
@@ -94,7 +94,7 @@
   return Next::more;
 }
 
-void Connection::left(const std::set<CallId>& /*open*/) {
+void Connection::on_left(const std::set<CallId>& /*open*/) {
   front_.endpoint_lost(std::static_pointer_cast<Connection>(shared_from_this()));
 }
 
--- a/src/ws/connection.h
+++ b/src/ws/connection.h
@@ -23,9 +23,9 @@
 
  protected:
   Next received() override;
-  void late() override;
-  Next quiet() override;
-  void left(const std::set<CallId>& open) override;
+  void on_timeout() override;
+  Next on_quiet() override;
+  void on_left(const std::set<CallId>& open) override;
 
  private:
   bool handle_message(const std::shared_ptr<Connection>& self, const Message& message);
--- a/tests/crossings/caller_releases_test.cpp
+++ b/tests/crossings/caller_releases_test.cpp
@@ -187,7 +187,8 @@
   let_stand(stuck);
   stop_reading(stuck, 200ms);
   endpoint_releases();
-  while (front_->connections().unread + front_->connections().cut == 0) net::pause_until(net::now() + 10ms);
+  while (front_->connections().unread + front_->connections().dropped == 0)
+    net::pause_until(net::now() + 10ms);
   const net::Fd next = connect();
   EXPECT_TRUE(comes(next, "BYE "));
 }
--- a/tests/crossings/connection.h
+++ b/tests/crossings/connection.h
@@ -27,17 +27,17 @@
       if (end == std::string_view::npos) return Next::more;
       const std::string line(buffer_.view().substr(0, end + 1));
       buffer_.take(end + 1);
-      whole();
+      message_complete();
       ++lines;
       push(line);
       if (line == "bad\n") return hang_up();
     }
   }
-  void late() override {
+  void on_timeout() override {
     push("late\n");
     hang_up();
   }
-  void left(const std::set<CallId>& open) override {
+  void on_left(const std::set<CallId>& open) override {
     ++lefts;
     open_at_leaving = open;
   }
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -64,11 +64,11 @@
       if (end == std::string_view::npos) return Next::more;
       const std::string line(buffer_.view().substr(0, end + 1));
       buffer_.take(end + 1);
-      whole();
+      message_complete();
       push(line);
     }
   }
-  void left(const std::set<CallId>& /*open*/) override {}
+  void on_left(const std::set<CallId>& /*open*/) override {}
 };
 // An accepted connection whose loop is not started, so that the test plays the loop's thread.
 struct AcceptedPeer {
@@ -89,8 +89,8 @@
 // idle one.
 TEST(ConnectionListener, PeerWithAPartialMessageIsNotEvicted) {
   AcceptedPeer accepted;
-  net::pause_until(net::now() +
-                   std::chrono::milliseconds(300));  // longer than the grace period for a first message
+  // Longer than the grace period for a first message.
+  net::pause_until(net::now() + std::chrono::milliseconds(300));
   EXPECT_EQ(accepted.peer->eviction_rank(), net::Peer::EvictionRank::silent);
   ASSERT_TRUE(net::write_all(accepted.far, "mess"));
   EXPECT_EQ(accepted.peer->eviction_rank(), net::Peer::EvictionRank::in_use);  // not yet read
