--- a/src/main.cpp
+++ b/src/main.cpp
@@ -103,7 +103,8 @@
   core::Core core(node.settings, node.seed);
   core::OfficeList list(core);
   platform::Offices offices(core, node.class_names, node.dial_limit);
-  ws::Front websocket(core, list, {node.class_names, fronts.websocket_origins, fronts.websocket_connections});
+  ws::Frontend websocket(core, list,
+                         {node.class_names, fronts.websocket_origins, fronts.websocket_connections});
   core::OfficeRouter sides(offices);
   sides.add(websocket, [&websocket](ServerId id) { return websocket.owns(id); });
   trunk::Trunks trunks;
@@ -116,7 +117,7 @@
       sides.add(*trunks.back(), [t = trunks.back().get()](ServerId id) { return t->owns(id); });
     }
   }
-  platform::SipFront sip(core, node.class_names, callers);
+  platform::SipFrontend sip(core, node.class_names, callers);
   std::optional<fleet::Service> fleet;
   if (prepared) fleet.emplace(core, list, std::move(*prepared), node);
   // Yes once clients are taken: the listener is open and the module holds a list (or has waited long enough).
@@ -137,7 +138,7 @@
   core.start(sides, node.listen ? &sip : nullptr);
   if (fleet) fleet->start();
   if (!node.known.empty()) list.update(core::Source::platform, true, node.known);
-  std::optional<dns::Updates> zone;
+  std::optional<dns::UpdateServer> zone;
   if (!fronts.zone_file.empty()) {
     dns::Zone read = dns::Zone::read(config::read_file(fronts.zone_file), fronts.zone_file);
     zone.emplace(list, std::move(read), fronts.zone_service, fronts.zone_file);
@@ -186,8 +187,8 @@
                 " attempts");
   const auto& d = sip.connections();
   net::log_line("connections: " + std::to_string(d.accepted) + " let in; ended at a limit: " +
-                std::to_string(d.late) + " late, " + std::to_string(d.unread) + " left unread, " +
-                std::to_string(d.room) + " for room, " + std::to_string(d.cut) + " with a full queue");
+                std::to_string(d.timeout) + " late, " + std::to_string(d.unread) + " left unread, " +
+                std::to_string(d.evicted) + " for room, " + std::to_string(d.dropped) + " with a full queue");
   return 0;
 }
 
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -7,12 +7,12 @@
 namespace reeltack::net {
 namespace {
 
-// A peer that has said nothing for so long may be spared: usual ones send as soon as they are connected.
-constexpr Duration kShy = std::chrono::milliseconds(250);
-// While nothing is read of a peer, its close shows by no event, and is looked for so often.
-constexpr Duration kLookForClose = std::chrono::milliseconds(50);
-// Reads of what a broken connection had still brought, of some KB each.
-constexpr int kMostRest = 32;
+// A peer that has sent nothing for this long may be evicted: ordinary peers send as soon as they connect.
+constexpr Duration kFirstMessageGrace = std::chrono::milliseconds(250);
+// While a peer is not read, its close causes no event and is polled for at this interval.
+constexpr Duration kCloseCheckInterval = std::chrono::milliseconds(50);
+// Reads, of some KB each, of what a broken connection had still delivered.
+constexpr int kMaxFinalReads = 32;
 
 }  // namespace
 
@@ -25,20 +25,20 @@
   id_ = loop.add(shared_from_this());
 }
 
-void Peer::turn(bool ready) {
+void Peer::handle_event(bool ready) {
   if (stage_ == Stage::over) return;
   if (outbox_.flush(fd_) == Outbox::Flushed::broken) {
-    const End why = broken();  // before answers to the rest fail as well
+    const EndReason reason = broken();  // before answers to the remaining input fail as well
     if (stage_ == Stage::reading) read_rest();
-    if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(why);
+    if (stage_ == Stage::reading || stage_ == Stage::answering) abandon_open(reason);
   }
   note_written();
-  if (stage_ == Stage::reading && ready && !outbox_.crowded()) read();
-  if (stage_ == Stage::reading && outbox_.crowded() && fd_.far_end_closed()) {
+  if (stage_ == Stage::reading && ready && !outbox_.congested()) read();
+  if (stage_ == Stage::reading && outbox_.congested() && fd_.far_end_closed()) {
     read_rest();
-    end_reading(End::peer);
+    end_reading(EndReason::peer);
   }
-  if (stage_ == Stage::reading) keep_to_limits();
+  if (stage_ == Stage::reading) enforce_limits();
   if (stage_ == Stage::answering) answer_open();
   if (stage_ == Stage::writing) finish_writing(outbox_.flush(fd_));
   if (stage_ == Stage::draining) drain();
@@ -47,37 +47,38 @@
 }
 
 void Peer::read() {
-  const Got got = retiring_ ? Got::closed : buffer_.fill_now(fd_);
-  if (got == Got::closed) return end_reading(broken());
-  if (got == Got::late) return;
+  const ReadResult got = evicting_ ? ReadResult::closed : buffer_.fill_now(fd_);
+  if (got == ReadResult::closed) return end_reading(broken());
+  if (got == ReadResult::no_data) return;
   const Time at = now();
-  heard_ = at.time_since_epoch().count();
+  last_received_ = at.time_since_epoch().count();
   patience_.received(at);
   const Next next = received();
   patience_.set_partial_message(!buffer_.view().empty());
-  if (next == Next::end) end_reading(End::own);
+  if (next == Next::end) end_reading(EndReason::local);
 }
 
-// A connection that can't be written may have brought what concerns other connections: the end of a standing
-// call, say.
+// A connection that cannot be written may still have delivered messages that concern other connections, such
+// as the release of an established call.
 void Peer::read_rest() {
-  for (int reads = 0; reads < kMostRest && !retiring_; ++reads) {
-    if (buffer_.fill_now(fd_) != Got::data || received() == Next::end) return;
+  for (int reads = 0; reads < kMaxFinalReads && !evicting_; ++reads) {
+    if (buffer_.fill_now(fd_) != ReadResult::data || received() == Next::end) return;
   }
 }
 
-// Nothing more is taken from a peer that leaves its answers unread: they would pile up.
-void Peer::keep_to_limits() {
+// A peer that leaves its answers unread is not read either, as the answers would accumulate.
+void Peer::enforce_limits() {
   const Time at = now();
-  patience_.set_output_blocked(outbox_.crowded(), at);
-  if (closing_ == Closing::whatever_comes) return stop_reading();
+  patience_.set_output_blocked(outbox_.congested(), at);
+  if (closing_ == Closing::despite_input) return stop_reading();
   if (may_close()) {
-    orderly_ = drains_ = takes_after_close();
-    return abandon_open(End::own);
+    closed_between_messages_ = drain_input_ = takes_after_close();
+    return abandon_open(EndReason::local);
   }
   auto overdue = patience_.expired(at);
-  // What came in time may lie unread where the processor is short: then its peer is neither late nor silent.
-  while (overdue && overdue != limits::PeerTimeout::unread_output && !outbox_.crowded() && fd_.unread()) {
+  // Input that arrived in time may be unread if the processor is overloaded: the peer is then neither late
+  // nor quiet.
+  while (overdue && overdue != limits::PeerTimeout::unread_output && !outbox_.congested() && fd_.unread()) {
     read();
     if (stage_ != Stage::reading) return;
     overdue = patience_.expired(at);
@@ -85,20 +86,20 @@
   if (!overdue) return;
   switch (*overdue) {
     case limits::PeerTimeout::unread_output:
-      return abandon_open(End::unread);
+      return abandon_open(EndReason::unread);
     case limits::PeerTimeout::message:
-      late();
-      return end_reading(End::late);
+      on_timeout();
+      return end_reading(EndReason::timeout);
     case limits::PeerTimeout::idle:
       patience_.probed(at);
-      if (quiet() == Next::end) end_reading(End::own);
+      if (on_quiet() == Next::end) end_reading(EndReason::local);
   }
 }
 
-Peer::End Peer::broken() const {
-  if (retiring_) return End::room;
-  if (cut_) return End::cut;
-  return outbox_.unread() ? End::unread : End::peer;
+Peer::EndReason Peer::broken() const {
+  if (evicting_) return EndReason::evicted;
+  if (cut_) return EndReason::dropped;
+  return outbox_.unread() ? EndReason::unread : EndReason::peer;
 }
 
 bool Peer::may_close() const {
@@ -108,14 +109,14 @@
   return open_.empty() && !fd_.unread();
 }
 
-// Told anew after each turn: what it waits for, and until when.
+// Updates the watched events and the due time after each event.
 void Peer::arm() {
-  const bool reads = (stage_ == Stage::reading && !outbox_.crowded()) ||
-                     (stage_ == Stage::answering && !left_told_) || stage_ == Stage::draining;
+  const bool reads = (stage_ == Stage::reading && !outbox_.congested()) ||
+                     (stage_ == Stage::answering && !left_notified_) || stage_ == Stage::draining;
   loop_->watch(id_, fd_, reads, outbox_.blocked());
-  Time at = outbox_.due();
+  Time at = outbox_.write_deadline();
   if (stage_ == Stage::reading) at = std::min(at, patience_.next_expiry());
-  if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kLookForClose);
+  if (stage_ == Stage::reading && !reads) at = std::min(at, now() + kCloseCheckInterval);
   if (stage_ == Stage::draining) at = std::min(at, drained_by_);
   if (stage_ == Stage::writing || stage_ == Stage::draining) at = std::min(at, over_by());
   loop_->due(id_, at);
@@ -144,36 +145,37 @@
   const std::lock_guard hold(lock_);
   open_.insert(call);
 }
-void Peer::stood(CallId call) {
+void Peer::established(CallId call) {
   const std::lock_guard hold(lock_);
-  if (open_.erase(call) > 0) standing_.insert(call);
+  if (open_.erase(call) > 0) established_.insert(call);
   if (outbox_.behind()) unwritten_.insert(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
 void Peer::closed(CallId call) {
   const std::lock_guard hold(lock_);
   open_.erase(call);
-  standing_.erase(call);
+  established_.erase(call);
   unwritten_.erase(call);
   if (closing_ != Closing::no || answering_) loop_->wake(id_);
 }
-Peer::Spare Peer::spare() const {
+Peer::EvictionRank Peer::eviction_rank() const {
   const std::lock_guard hold(lock_);
-  return spare_now();
+  return eviction_rank_locked();
 }
-// Kept is all that has a set-up open, has said what is not yet read or taken, or has not been written its
-// answer: where the processor is short, the loop may come to these late.
-Peer::Spare Peer::spare_now() const {
-  if (over_ || retiring_ || answering_ || closing_ != Closing::no || patience_.has_partial_message() ||
+// In use is any peer that has a set-up open, has sent something that is not yet read or consumed, or has an
+// answer that is not yet written: with the processor overloaded, the loop may handle these late.
+Peer::EvictionRank Peer::eviction_rank_locked() const {
+  if (over_ || evicting_ || answering_ || closing_ != Closing::no || patience_.has_partial_message() ||
       !open_.empty() || outbox_.behind() || fd_.unread())
-    return Spare::kept;
-  if (!patience_.served()) return heard() + kShy < now() ? Spare::silent : Spare::kept;
-  return standing_.empty() ? Spare::idle : Spare::standing;
+    return EvictionRank::in_use;
+  if (!patience_.served())
+    return last_received() + kFirstMessageGrace < now() ? EvictionRank::silent : EvictionRank::in_use;
+  return established_.empty() ? EvictionRank::idle : EvictionRank::established;
 }
-void Peer::retire() {
+void Peer::evict() {
   const std::lock_guard hold(lock_);
-  if (spare_now() == Spare::kept) return;
-  retiring_ = true;
+  if (eviction_rank_locked() == EvictionRank::in_use) return;
+  evicting_ = true;
   fd_.shut();
 }
 void Peer::close(bool now) {
@@ -182,12 +184,12 @@
 }
 void Peer::close_by(Time over_by) {
   over_by_ = over_by.time_since_epoch().count();
-  closing_ = Closing::whatever_comes;
+  closing_ = Closing::despite_input;
   loop_->wake(id_);
 }
-void Peer::whole() { patience_.message_completed(now()); }
+void Peer::message_complete() { patience_.message_completed(now()); }
 Peer::Next Peer::hang_up() {
-  drains_ = true;
+  drain_input_ = true;
   return Next::end;
 }
 
--- a/src/platform/sip.cpp
+++ b/src/platform/sip.cpp
@@ -10,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t kMostFigure = 65535;  // places are 16-bit numbers in the bulletin
-constexpr std::int64_t kWidest = 255;        // circuits of one call
+constexpr std::int64_t kMaxFigure = 65535;  // places are 16-bit numbers in the bulletin
+constexpr std::int64_t kMaxWidth = 255;     // circuits of one call
 
-// The figures of a set-up, none of which an office would check: whole numbers within what they can mean.
-bool read_facts(std::string_view text, CallArrived& told) {
+// Parses the figures of a set-up, which offices do not check: integers within their meaningful range.
+bool read_facts(std::string_view text, CallArrived& arrival) {
   while (!text.empty()) {
     const std::string_view one = text.substr(0, text.find(';'));
     text.remove_prefix(std::min(one.size() + 1, text.size()));
@@ -22,11 +22,11 @@
     if (colon == std::string_view::npos || colon == 0) return false;
     const std::string_view name = one.substr(0, colon);
     const auto value = whole_number(one.substr(colon + 1));
-    if (!value || *value < -1 || *value > kMostFigure) return false;
+    if (!value || *value < -1 || *value > kMaxFigure) return false;
     if (*value < 0 && name != "via") return false;
-    if (name == "dest") told.destination = static_cast<std::uint32_t>(*value);
-    if (name == "width" && (*value < 1 || *value > kWidest)) return false;
-    if (name == "again") told.dropped_before = *value != 0;
+    if (name == "dest") arrival.destination = static_cast<std::uint32_t>(*value);
+    if (name == "width" && (*value < 1 || *value > kMaxWidth)) return false;
+    if (name == "again") arrival.dropped_before = *value != 0;
   }
   return true;
 }
@@ -39,16 +39,16 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-SipFront::SipFront(core::Core& core, std::vector<std::string> class_names, std::size_t most_connections)
+SipFrontend::SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t max_connections)
     : core_(core),
       class_names_(std::move(class_names)),
-      door_(
-          most_connections,
+      listener_(
+          max_connections,
           [this](net::Fd fd) { return std::make_shared<SipConnection>(*this, std::move(fd)); },
-          [this](net::Peer& connection) { joined(connection); }) {}
+          [this](net::Peer& connection) { on_accepted(connection); }) {}
 
-bool SipFront::take(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
-  if (message.method.empty()) return heard(*from, message), true;
+bool SipFrontend::handle_message(const std::shared_ptr<SipConnection>& from, const SipMessage& message) {
+  if (message.method.empty()) return handle_answer(*from, message), true;
   if (message.method == "ACK") return true;  // nothing to do
   if (message.method == "OPTIONS") {
     from->push(core_.ready() ? sip_answer(200, "OK", message.echoed())
@@ -58,7 +58,7 @@
   const std::string* id = message.header("Call-ID");
   const auto call = id == nullptr ? std::nullopt : net::parse_hex16(*id);
   if (!call || message.header("CSeq") == nullptr) return false;
-  if (message.method == "INVITE") return take_invite(from, message, CallId{*call}), true;
+  if (message.method == "INVITE") return handle_invite(from, message, CallId{*call}), true;
   if (message.method == "CANCEL") {
     from->push(sip_answer(200, "OK", message.echoed()));
     core_.cancel(CallId{*call}, *this);
@@ -73,11 +73,11 @@
   return true;
 }
 
-void SipFront::take_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
-                           CallId call) {
+void SipFrontend::handle_invite(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
+                                CallId call) {
   core::Request request;
-  CallArrived& told = request.arrival;
-  told.call = call;
+  CallArrived& arrival = request.arrival;
+  arrival.call = call;
   const std::size_t at = message.uri.find('@');
   const auto number = message.uri.rfind("sip:", 0) == 0 && at != std::string::npos
                           ? net::parse_hex16(std::string_view(message.uri).substr(4, at - 4))
@@ -88,20 +88,22 @@
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
   }
-  told.number = CalledNumber{*number};
-  told.caller_leaves_at = net::now() + std::chrono::milliseconds(*ms);
+  arrival.number = CalledNumber{*number};
+  arrival.caller_leaves_at = net::now() + std::chrono::milliseconds(*ms);
   const std::string* subject = message.header("Subject");
   const auto name = std::find(class_names_.begin(), class_names_.end(), subject == nullptr ? "" : *subject);
-  if (name == class_names_.end()) {  // said here: what anybody can send at full speed must not cost the core
+  if (name == class_names_.end()) {  // answered here, so that floods of unknown classes do not load the core
     from->push(sip_answer(488, "Not Acceptable Here", message.echoed()));
     return;
   }
-  told.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
-  if (const std::string* facts = message.header("X-Facts"); facts != nullptr && !read_facts(*facts, told)) {
+  arrival.call_class = static_cast<std::uint32_t>(name - class_names_.begin());
+  if (const std::string* facts = message.header("X-Facts");
+      facts != nullptr && !read_facts(*facts, arrival)) {
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
   }
-  // An office reads JSON lines: on a description that is no UTF-8 it would close on its other set-ups too.
+  // Offices read JSON lines: one that receives invalid UTF-8 would close the connection with its other
+  // set-ups.
   if (!net::is_utf8(message.body)) {
     from->push(sip_answer(400, "Bad Request", message.echoed()));
     return;
@@ -111,8 +113,8 @@
   if (open_dialogue(from, message, call)) core_.request(std::move(request));
 }
 
-bool SipFront::open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
-                             CallId call) {
+bool SipFrontend::open_dialogue(const std::shared_ptr<SipConnection>& from, const SipMessage& message,
+                                CallId call) {
   const std::string& subject = *message.header("Subject");
   const std::lock_guard hold(lock_);
   const auto [place, fresh] = dialogues_.try_emplace(call);
@@ -122,32 +124,32 @@
     d.subject = subject;
     d.description = message.body;
   } else if (d.answered || d.uri != message.uri || d.subject != subject || d.description != message.body) {
-    // Another set-up under the id of an open call: it must get neither that call's answer nor its place.
+    // A different set-up under the id of an open call must neither get that call's answer nor replace it.
     from->push(sip_answer(482, "Loop Detected", message.echoed()));
     return false;
-  } else if (std::any_of(d.askers.begin(), d.askers.end(),
-                         [&from](const Asker& a) { return a.connection.lock() == from; })) {
+  } else if (std::any_of(d.requesters.begin(), d.requesters.end(),
+                         [&from](const Requester& a) { return a.connection.lock() == from; })) {
     return false;
   }
-  // The same set-up once more crossed a close of ours, or is hedged: its one answer is owed here now.
-  d.askers.push_back({from, message.echoed()});
+  // A repeated set-up, which crossed a close of ours or is hedged: its single answer is now due here.
+  d.requesters.push_back({from, message.echoed()});
   from->opened(call);
   return fresh;
 }
 
-// The call is given up with the last connection on which its set-up came.
-void SipFront::asker_left(SipConnection& from, CallId call) {
+// The call is given up when the last connection on which its set-up was received ends.
+void SipFrontend::requester_left(SipConnection& from, CallId call) {
   {
     const std::lock_guard hold(lock_);
     const auto found = dialogues_.find(call);
     if (found == dialogues_.end()) return;
-    std::vector<Asker>& askers = found->second.askers;
-    const bool others = std::any_of(askers.begin(), askers.end(), [&from](const Asker& a) {
+    std::vector<Requester>& requesters = found->second.requesters;
+    const bool others = std::any_of(requesters.begin(), requesters.end(), [&from](const Requester& a) {
       const auto connection = a.connection.lock();
       return connection && connection.get() != &from && connection->reachable();
     });
     if (others) {
-      std::erase_if(askers, [&from](const Asker& a) { return a.connection.lock().get() == &from; });
+      std::erase_if(requesters, [&from](const Requester& a) { return a.connection.lock().get() == &from; });
       from.closed(call);
       return;
     }
@@ -155,47 +157,48 @@
   core_.cancel(call, *this);
 }
 
-bool SipFront::still_waiting(CallId call) {
+bool SipFrontend::still_waiting(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   return found != dialogues_.end() && last_reachable(found->second) != nullptr;
 }
 
-bool SipFront::established(CallId call, const std::string& description) {
+bool SipFrontend::established(CallId call, const std::string& description) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return false;
   Dialogue& d = found->second;
-  // A caller that has closed, noticed or not, has given the call up: it would never end what stands.
-  const Asker* reachable = last_reachable(d);
-  const Asker asker = reachable == nullptr ? d.askers.back() : *reachable;
-  const auto connection = asker.connection.lock();
-  const bool told = reachable != nullptr && connection &&
-                    connection->push(sip_answer(200, "OK", asker.echoed, "", description));
-  if (!told && connection) connection->push(sip_answer(487, "Request Terminated", asker.echoed));
-  if (told) connection->stood(call);
-  close_askers(d, call, told ? connection : nullptr);
-  if (!told) {
+  // A caller that has closed, even if the loop has not noticed, has given up the call and would never release
+  // it.
+  const Requester* reachable = last_reachable(d);
+  const Requester requester = reachable == nullptr ? d.requesters.back() : *reachable;
+  const auto connection = requester.connection.lock();
+  const bool sent = reachable != nullptr && connection &&
+                    connection->push(sip_answer(200, "OK", requester.echoed, "", description));
+  if (!sent && connection) connection->push(sip_answer(487, "Request Terminated", requester.echoed));
+  if (sent) connection->established(call);
+  close_requesters(d, call, sent ? connection : nullptr);
+  if (!sent) {
     dialogues_.erase(found);
     return false;
   }
   d.answered = true;
   d.description = {};
-  d.askers = {asker};
+  d.requesters = {requester};
   return true;
 }
 
-void SipFront::rejected(CallId call, core::FailureReason why, Duration later) {
+void SipFrontend::rejected(CallId call, core::FailureReason why, Duration later) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
   const Dialogue d = std::move(found->second);
   dialogues_.erase(found);
-  // With more than one, the last that can be reached; a far end that closed its own way only reads it as
-  // well.
-  const Asker* reachable = d.askers.size() > 1 ? last_reachable(d) : nullptr;
-  const Asker& asker = reachable == nullptr ? d.askers.back() : *reachable;
-  const auto connection = asker.connection.lock();
+  // Of several, the last reachable one. A single one is answered in any case: a far end that closed only its
+  // own direction still reads.
+  const Requester* reachable = d.requesters.size() > 1 ? last_reachable(d) : nullptr;
+  const Requester& requester = reachable == nullptr ? d.requesters.back() : *reachable;
+  const auto connection = requester.connection.lock();
   if (!connection) return;
   std::string advice;
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(later).count();
@@ -208,30 +211,31 @@
                   {482, "Loop Detected"},         {488, "Not Acceptable Here"},
                   {487, "Request Terminated"}};
   const auto& a = kAnswers[static_cast<std::size_t>(why)];
-  connection->push(sip_answer(a.status, a.reason, asker.echoed, advice));
-  close_askers(d, call);  // only now: a connection without an open set-up may end at any time
+  connection->push(sip_answer(a.status, a.reason, requester.echoed, advice));
+  close_requesters(d, call);  // after the push: a connection without an open set-up may end at any time
 }
 
-void SipFront::ended(CallId call) {
+void SipFrontend::ended(CallId call) {
   const std::lock_guard hold(lock_);
   const auto found = dialogues_.find(call);
   if (found == dialogues_.end()) return;
-  close_askers(found->second, call);
+  close_requesters(found->second, call);
   dialogues_.erase(found);
 }
 
-const SipFront::Asker* SipFront::last_reachable(const Dialogue& dialogue) {
-  const auto found = std::find_if(dialogue.askers.rbegin(), dialogue.askers.rend(), [](const Asker& a) {
-    const auto connection = a.connection.lock();
-    return connection && connection->reachable();
-  });
-  return found == dialogue.askers.rend() ? nullptr : &*found;
+const SipFrontend::Requester* SipFrontend::last_reachable(const Dialogue& dialogue) {
+  const auto found =
+      std::find_if(dialogue.requesters.rbegin(), dialogue.requesters.rend(), [](const Requester& a) {
+        const auto connection = a.connection.lock();
+        return connection && connection->reachable();
+      });
+  return found == dialogue.requesters.rend() ? nullptr : &*found;
 }
 
-void SipFront::close_askers(const Dialogue& dialogue, CallId call,
-                            const std::shared_ptr<SipConnection>& except) {
-  for (const Asker& asker : dialogue.askers) {
-    const auto connection = asker.connection.lock();
+void SipFrontend::close_requesters(const Dialogue& dialogue, CallId call,
+                                   const std::shared_ptr<SipConnection>& except) {
+  for (const Requester& requester : dialogue.requesters) {
+    const auto connection = requester.connection.lock();
     if (connection && connection != except) connection->closed(call);
   }
 }
--- a/src/shutdown/shutdown.cpp
+++ b/src/shutdown/shutdown.cpp
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
-               ws::Front* websocket, const limits::ShutdownTimes& times) {
+void shut_down(core::Core& core, platform::Offices& offices, platform::SipFrontend& callers,
+               ws::Frontend* websocket, const limits::ShutdownTimes& times) {
   limits::ShutdownSequence order(times);
   for (bool done = false; !done; net::pause_until(net::now() + (done ? 0ms : kStepInterval))) {
     const bool clients_closed = websocket == nullptr || websocket->clients_closed();
@@ -46,7 +46,7 @@
     done = steps.done;
   }
   await_core(core);
-  if (!offices.owes()) return;
+  if (!offices.has_pending_releases()) return;
   for (const Time deadline = net::now() + kLastReleasesTime; !offices.finished() && net::now() < deadline;)
     net::pause_until(net::now() + 1ms);
 }
--- a/src/shutdown/shutdown.h
+++ b/src/shutdown/shutdown.h
@@ -13,7 +13,7 @@
 
 // Returns once every caller's connection has ended and no call is open, within `times`. `websocket`: null
 // without a WebSocket front; its clients are closed together with the callers, its endpoints are left open.
-void shut_down(core::Core& core, platform::Offices& offices, platform::SipFront& callers,
-               ws::Front* websocket, const limits::ShutdownTimes& times);
+void shut_down(core::Core& core, platform::Offices& offices, platform::SipFrontend& callers,
+               ws::Frontend* websocket, const limits::ShutdownTimes& times);
 
 }  // namespace reeltack
--- a/src/ws/connection.cpp
+++ b/src/ws/connection.cpp
@@ -5,14 +5,15 @@
 namespace reeltack::ws {
 namespace {
 
-// After so long the peer is asked by a ping, and cut off after as long again.
-constexpr Duration kSilence = std::chrono::seconds(20);
+// Silence after which the peer is pinged; after as much again the connection is closed.
+constexpr Duration kPingInterval = std::chrono::seconds(20);
 constexpr const char* kClients = "/calls";
 constexpr const char* kEndpoints = "/centrales";
 
 }  // namespace
 
-Connection::Connection(Front& front, net::Fd fd) : net::Peer(std::move(fd), kSilence), front_(front) {}
+Connection::Connection(Frontend& front, net::Fd fd)
+    : net::Peer(std::move(fd), kPingInterval), front_(front) {}
 
 bool Connection::send(const std::string& json, net::Outbox::Check check) {
   const std::lock_guard hold(sending_);
@@ -34,24 +35,24 @@
     if (handshake.result == Handshake::Result::rejected) return hang_up();
     path_ = handshake.path;
     serves_endpoint_ = path_ == kEndpoints;
-    whole();
+    message_complete();
   }
   for (;;) {
     std::size_t used = 0;
     const std::optional<Message> message = assembler_.next(buffer_.view(), used);
     buffer_.take(used);
-    if (used > 0) whole();
+    if (used > 0) message_complete();
     if (assembler_.fault() != 0) {
       send_close(assembler_.fault());
       return hang_up();
     }
     if (!message) return Next::more;
-    asked_ = false;
-    if (!take(self, *message)) return Next::end;
+    pinged_ = false;
+    if (!handle_message(self, *message)) return Next::end;
   }
 }
 
-bool Connection::take(const std::shared_ptr<Connection>& self, const Message& message) {
+bool Connection::handle_message(const std::shared_ptr<Connection>& self, const Message& message) {
   switch (message.kind) {
     case Message::Kind::ping:
       return push(control_frame(kOpPong, message.payload));
@@ -61,12 +62,12 @@
       send_close(message.close_code == 0 ? kNormal : message.close_code);
       return false;
     case Message::Kind::text:
-      return take_text(self, message.payload);
+      return handle_text(self, message.payload);
   }
   return true;
 }
 
-bool Connection::take_text(const std::shared_ptr<Connection>& self, const std::string& text) {
+bool Connection::handle_text(const std::shared_ptr<Connection>& self, const std::string& text) {
   try {
     const net::Json json = net::Json::parse(text);
     if (json.object() == nullptr) return send(error_message("bad-message"));
@@ -77,23 +78,23 @@
   }
 }
 
-void Connection::late() {
+void Connection::on_timeout() {
   if (path_.empty()) return;
-  send_close(kProtocolError, "late");  // half a frame
+  send_close(kProtocolError, "late");  // incomplete frame
   hang_up();
 }
 
-net::Peer::Next Connection::quiet() {
-  if (asked_) {  // no answer to the ping either: the peer is gone
+net::Peer::Next Connection::on_quiet() {
+  if (pinged_) {  // the ping was not answered either
     send_close(kGoingAway, "silent");
     return Next::end;
   }
-  asked_ = true;
+  pinged_ = true;
   push(control_frame(kOpPing, "there?"));
   return Next::more;
 }
 
-void Connection::left(const std::set<CallId>& /*open*/) {
+void Connection::on_left(const std::set<CallId>& /*open*/) {
   front_.endpoint_lost(std::static_pointer_cast<Connection>(shared_from_this()));
 }
 
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -1,4 +1,4 @@
-// The front's side for endpoints: what they say, and the attempts and releases sent to them.
+// Endpoint side of the frontend: messages from endpoints, and the attempts and releases sent to them.
 #include "ws/connection.h"
 #include "ws/frames.h"
 #include "ws/messages.h"
@@ -9,14 +9,14 @@
 using net::Json;
 using net::quoted;
 
-// Rounded down: nobody is told of more time than there is.
+// Rounded down, so that no endpoint is given more time than remains.
 std::int64_t whole_ms_left(Time give_up) {
   return std::chrono::floor<std::chrono::milliseconds>(give_up - net::now()).count();
 }
 
 }  // namespace
 
-void Front::from_endpoint(const ConnectionPtr& from, const Json& message) {
+void Frontend::from_endpoint(const ConnectionPtr& from, const Json& message) {
   const std::string type = text_field(message, "type");
   if (type == "register") return register_endpoint(from, message);
   std::optional<ServerId> id;
@@ -32,10 +32,10 @@
   if (type == "load") return core_.load_reported(*id, load_report(message));
   if (type == "drain") return change_state(from, *id, ServerState::draining);
   if (type == "leave") return change_state(from, *id, ServerState::gone);
-  about_call(from, *id, message);
+  handle_call_message(from, *id, message);
 }
 
-void Front::change_state(const ConnectionPtr& from, ServerId id, ServerState state) {
+void Frontend::change_state(const ConnectionPtr& from, ServerId id, ServerState state) {
   core::OfficeEntry entry;
   {
     const std::lock_guard hold(lock_);
@@ -47,7 +47,7 @@
   from->send(state == ServerState::draining ? R"({"type":"draining"})" : R"({"type":"left"})");
 }
 
-void Front::about_call(const ConnectionPtr& from, ServerId id, const Json& message) {
+void Frontend::handle_call_message(const ConnectionPtr& from, ServerId id, const Json& message) {
   const std::string type = text_field(message, "type");
   const std::string call_text = text_field(message, "call");
   const auto number = net::parse_hex16(call_text);
@@ -69,8 +69,8 @@
       {id, call, static_cast<int>(*cause), text_field(message, "note"), load_report(message)});
 }
 
-// The first byte counts for drains, so all is checked again as the set-up leaves the queue.
-bool Front::may_leave(const core::SetUp& set_up, std::int64_t told_ms, std::string& message) {
+// Makes the last check as the set-up leaves the queue, since drains count from its first byte.
+bool Frontend::may_leave(const core::SetUp& set_up, std::int64_t sent_ms, std::string& message) {
   {
     const std::lock_guard hold(lock_);
     Endpoint& endpoint = endpoints_[set_up.office];
@@ -78,11 +78,12 @@
     if (found == endpoint.attempts.end() || found->second.number != set_up.attempt) return false;
     const ConnectionPtr connection = endpoint.connection.lock();
     const std::int64_t left_ms = whole_ms_left(set_up.expires_at);
-    if (connection && connection->listens() && endpoint.entry.entry.state == ServerState::ready &&
+    if (connection && connection->accepts_output() && endpoint.entry.entry.state == ServerState::ready &&
         left_ms > 0) {
-      if (left_ms < told_ms) message = text_frame(set_up_message(set_up, left_ms));
+      if (left_ms < sent_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
-      endpoint.releases.acknowledge(set_up.call);  // of an attempt before; told again, it would end this one
+      endpoint.releases.acknowledge(
+          set_up.call);  // release of an earlier attempt; repeated, it would end this one
       core_.attempt_transmitted();
       return true;
     }
@@ -92,7 +93,7 @@
   return false;
 }
 
-std::string Front::set_up_message(const core::SetUp& set_up, std::int64_t left_ms) const {
+std::string Frontend::set_up_message(const core::SetUp& set_up, std::int64_t left_ms) const {
   const auto& names = setup_.class_names;
   return R"({"type":"set-up","call":")" + id_text(set_up.call) + R"(","class":)" +
          quoted(set_up.call_class < names.size() ? names[set_up.call_class] : "") + R"(,"number":")" +
@@ -100,7 +101,7 @@
          ",\"description\":" + quoted(set_up.description) + "}";
 }
 
-void Front::start(const core::SetUp& set_up) {
+void Frontend::start(const core::SetUp& set_up) {
   const std::int64_t left_ms = whole_ms_left(set_up.expires_at);
   const std::string message = set_up_message(set_up, left_ms);
   const std::lock_guard hold(lock_);
@@ -115,7 +116,7 @@
   core_.attempt_failed(set_up.call, set_up.attempt, AttemptOutcome::connect_failed);
 }
 
-void Front::cancel(ServerId office, CallId call, std::uint32_t /*attempt*/) {
+void Frontend::cancel(ServerId office, CallId call, std::uint32_t /*attempt*/) {
   const std::lock_guard hold(lock_);
   Endpoint& endpoint = endpoints_[office];
   const auto found = endpoint.attempts.find(call);
@@ -123,24 +124,24 @@
   const bool left = found->second.left;
   endpoint.attempts.erase(found);
   const ConnectionPtr connection = endpoint.connection.lock();
-  if (!left || !connection) return;  // a set-up that waits for its turn is dropped then
-  // Lost with the connection, it would leave the endpoint with a call that nobody wants.
+  if (!left || !connection) return;  // a queued set-up is dropped by may_leave()
+  // Recorded for resending: if lost with the connection, the endpoint would hold a call without a caller.
   endpoint.releases.add(call, release_message(call), net::now());
-  // A peer that does not read would get this too late: closing gives up what is open there at once.
+  // An endpoint that does not read would receive this too late: closing gives up its open set-ups at once.
   if (connection->blocked()) return connection->cut();
   connection->send(R"({"type":"give-up","call":")" + id_text(call) + "\"}");
 }
 
-void Front::release(ServerId office, CallId call) {
+void Frontend::release(ServerId office, CallId call) {
   const std::lock_guard hold(lock_);
   send_release(endpoints_[office], call, release_message(call));
 }
 
-// On the connection, or owed to the next; it is kept until the endpoint must have read it.
-void Front::send_release(Endpoint& endpoint, CallId call, std::string message) {
+// Sends on the connection, or queues for the next; held until the endpoint must have read it.
+void Frontend::send_release(Endpoint& endpoint, CallId call, std::string message) {
   const ConnectionPtr connection = endpoint.connection.lock();
-  if (!connection || !connection->listens() || !connection->send(message)) {
-    endpoint.owed.emplace_back(call, std::move(message));
+  if (!connection || !connection->accepts_output() || !connection->send(message)) {
+    endpoint.pending_releases.emplace_back(call, std::move(message));
     return;
   }
   endpoint.releases.acknowledge(call);
--- a/tests/crossings/caller_releases_test.cpp
+++ b/tests/crossings/caller_releases_test.cpp
@@ -41,7 +41,7 @@
     Settings settings;
     settings.classes.push_back({.aim = 2s, .deadline = 9s});
     core_ = std::make_unique<core::Core>(settings, 1);
-    front_ = std::make_unique<platform::SipFront>(*core_, std::vector<std::string>{"voice"}, 16);
+    front_ = std::make_unique<platform::SipFrontend>(*core_, std::vector<std::string>{"voice"}, 16);
     address_ = {"127.100.10." + std::to_string(1 + ::getpid() % 250),
                 static_cast<std::uint16_t>(20000 + ::getpid() % 20000)};
     front_->open(address_);
@@ -117,7 +117,7 @@
   std::unique_ptr<core::Core> core_;
   AnsweringEndpoint endpoint_;
   net::Address address_;
-  std::unique_ptr<platform::SipFront> front_;
+  std::unique_ptr<platform::SipFrontend> front_;
 };
 
 TEST_F(CallerReleases, GoesOnTheConnectionOfItsSetUp) {
@@ -189,7 +189,8 @@
   let_stand(stuck);
   stop_reading(stuck, 200ms);
   endpoint_releases();
-  while (front_->connections().unread + front_->connections().cut == 0) net::pause_until(net::now() + 10ms);
+  while (front_->connections().unread + front_->connections().dropped == 0)
+    net::pause_until(net::now() + 10ms);
   const net::Fd next = connect();
   EXPECT_TRUE(comes(next, "BYE "));
 }
--- a/tests/system_calls/waits_test.cpp
+++ b/tests/system_calls/waits_test.cpp
@@ -45,7 +45,7 @@
   net::Fd pending() {
     for (int n = 0; n < 16; ++n) {
       net::Dial how = net::Dial::failed;
-      net::Fd fd = net::dial_begin(address_, how);
+      net::Fd fd = net::begin_dial(address_, how);
       if (how == net::Dial::pending && !net::readable(fd, net::now() + 20ms) &&
           net::dial_state(fd) == net::Dial::pending)
         return fd;
@@ -112,16 +112,16 @@
   faults::arm({.call = Call::poll, .error = ENOMEM, .repeat = faults::kForEver});
   const Time from = net::now();
   net::Buffer buffer;
-  EXPECT_EQ(buffer.fill(pair.near, net::now() + 20ms), net::Got::late);
+  EXPECT_EQ(buffer.fill(pair.near, net::now() + 20ms), net::ReadResult::no_data);
   EXPECT_FALSE(net::write_all(pair.near, std::string(std::size_t{8} << 20U, 'x'), net::now() + 20ms));
   const auto spent = std::chrono::ceil<std::chrono::milliseconds>(net::now() - from).count();
   EXPECT_LE(faults::visited(Call::poll), static_cast<std::uint64_t>(spent + 20));
   faults::disarm();
 }
 
-class Idle final : public net::Watched {
+class Idle final : public net::EventHandler {
  public:
-  void turn(bool /*ready*/) override {}
+  void handle_event(bool /*ready*/) override {}
 };
 
 // The wake that was lost so: the loop slept on until something else came.
