--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 
 #include "base/wall_clock.h"
-#include "store/keeper.h"
+#include "store/async_store.h"
 
 namespace {
 
--- a/src/config/controllers.cpp
+++ b/src/config/controllers.cpp
@@ -94,7 +94,7 @@
                                         yaml::show_span(t.members.period) +
                                         ": the probe through others needs the rest of it");
     const json exchange = top.value("exchange", json::object());
-    fleet::pace::GossipScheduleSettings& gossip = t.gossip;
+    fleet::gossip_schedule::GossipScheduleSettings& gossip = t.gossip;
     gossip.interval = span_above_zero(exchange, "/fleet/exchange", "every", gossip.interval);
     gossip.urgent_interval = span_above_zero(exchange, "/fleet/exchange", "urgent", gossip.urgent_interval);
     gossip.bytes_per_second = exchange.value("bytes", gossip.bytes_per_second);
--- a/src/config/controllers.h
+++ b/src/config/controllers.h
@@ -12,7 +12,7 @@
 
 #include "base/base.h"
 #include "config/config.h"
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::config {
 
--- a/src/config/terms.cpp
+++ b/src/config/terms.cpp
@@ -10,7 +10,7 @@
 using fleet::CoordinatorSettings;
 using T = CoordinatorSettings;
 using Members = fleet::members::MembersSettings;
-using Gossip = fleet::pace::GossipScheduleSettings;
+using Gossip = fleet::gossip_schedule::GossipScheduleSettings;
 using Recovery = fleet::recovery::RecoverySettings;
 using Leases = fleet::recovery::LeaseSettings;
 using Offices = fleet::recovery::EvidenceSettings;
--- a/src/config/terms.h
+++ b/src/config/terms.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 #include "rules/catalogue.h"
 
 namespace reeltack::config {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -186,7 +186,7 @@
   };
   using Task = std::function<void()>;
 
-  // take_in.cpp
+  // inbox.cpp
   void post(Task task);
   void run();
   void run_due_timers();
@@ -204,7 +204,7 @@
   void relay_office_release(const OfficeRelease& message);
   void relay_release(CallId call, const CallerFrontend& frontend);
   void relay_cancel(CallId call, const CallerFrontend& frontend);
-  // book.cpp
+  // call_table.cpp
   Record* find(CallId call);
   void report_attempt_ended(const Record& record, const Attempt& attempt, AttemptOutcome outcome,
                             bool call_ended, const OfficeRelease* message = nullptr);
--- a/src/dns/updates.h
+++ b/src/dns/updates.h
@@ -12,7 +12,7 @@
 #include "core/office_list.h"
 #include "dns/update_message.h"
 #include "dns/zone.h"
-#include "net/door.h"
+#include "net/connection_listener.h"
 #include "net/net.h"
 
 namespace reeltack::dns {
--- a/src/fleet/turn/bounds.cpp
+++ b/src/fleet/coordinator/bounds.cpp
@@ -1,7 +1,7 @@
 // Bounds: whose messages are accepted, and how many of each sender. Nothing here throws but check().
 #include <stdexcept>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 
--- a/src/fleet/turn/turn.cpp
+++ b/src/fleet/coordinator/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 #include <algorithm>
 
--- a/src/fleet/turn/turn.h
+++ b/src/fleet/coordinator/coordinator.h
@@ -21,9 +21,9 @@
 
 #include "fleet/drift/drift.h"
 #include "fleet/facts/facts.h"
+#include "fleet/gossip_schedule/gossip_schedule.h"
 #include "fleet/members/members.h"
-#include "fleet/news/news.h"
-#include "fleet/pace/pace.h"
+#include "fleet/push/eager_push.h"
 #include "fleet/recovery/recovery.h"
 
 namespace reeltack::fleet {
@@ -56,8 +56,8 @@
   // A delta and the digest sent with it must fit into kMaxExchangeBytes.
   facts::FactsSettings facts{.max_delta_bytes = std::size_t{9} * 1024};
   recovery::RecoverySettings recovery;
-  news::EagerPushSettings eager_push;
-  pace::GossipScheduleSettings gossip;
+  eager_push::EagerPushSettings eager_push;
+  gossip_schedule::GossipScheduleSettings gossip;
   drift::DriftSettings drift;
   Duration exchange_timeout = std::chrono::seconds(2);  // an exchange that takes longer is closed
   std::size_t max_inbound_exchanges = 8;                // running at a time
@@ -73,7 +73,7 @@
   members::Message message;
 };
 struct PushReceived {
-  news::Message message;
+  eager_push::Message message;
 };
 struct Opened {  // the connection that Dial requested is established
   ConnectionId id{};
@@ -113,7 +113,7 @@
 struct SendPush {
   Endpoint to{};
   MemberId member{};
-  news::Message message;
+  eager_push::Message message;
 };
 struct Dial {
   ConnectionId id{};
@@ -167,7 +167,7 @@
   [[nodiscard]] const members::Members& members() const { return members_; }
   [[nodiscard]] const facts::Facts& facts() const { return facts_; }
   [[nodiscard]] const recovery::Recovery& recovery() const { return recovery_; }
-  [[nodiscard]] const news::EagerPush& eager_push() const { return eager_push_; }
+  [[nodiscard]] const eager_push::EagerPush& eager_push() const { return eager_push_; }
   [[nodiscard]] const drift::Drift& drift() const { return drift_; }
   [[nodiscard]] const CoordinatorSettings& settings() const { return settings_; }
   [[nodiscard]] const CoordinatorCounters& counts() const { return counts_; }
@@ -191,25 +191,25 @@
   void apply(Time now, const recovery::Actions& wanted, CoordinatorActions& actions);
   void apply(Time now, const facts::Facts::Applied& taken, CoordinatorActions& actions);
   void apply(Time now, MemberId from, const facts::Delta& delta, CoordinatorActions& actions);
-  // urgent.cpp
-  void on_push(Time now, const news::Message& message, CoordinatorActions& actions);
+  // push_events.cpp
+  void on_push(Time now, const eager_push::Message& message, CoordinatorActions& actions);
   void deliver(Time now, MemberId from, const facts::Fact& fact, CoordinatorActions& actions);
-  void log_refused(Time now, MemberId from, const news::Counts& before, CoordinatorActions& actions);
+  void log_refused(Time now, MemberId from, const eager_push::Counts& before, CoordinatorActions& actions);
   void fact_written(Time now, const facts::Key& key);
   void send_pushes(Time now, CoordinatorActions& actions);
   [[nodiscard]] bool is_member(MemberId member) const;
-  // people.cpp
+  // member_events.cpp
   void log_change(const members::HealthChanged& change, CoordinatorActions& actions) const;
   void notify_members_changed(Time now, CoordinatorActions& actions);
   void decide(Time now, const recovery::Event& event, CoordinatorActions& actions) {
     decide(now, std::span(&event, 1), actions);
   }
   void decide(Time now, std::span<const recovery::Event> events, CoordinatorActions& actions);
-  // rules.cpp
+  // drift_events.cpp
   void on_drift(Time now, const drift::Event& event, CoordinatorActions& actions);
   void apply(Time now, const drift::Actions& wanted, CoordinatorActions& actions);
   void tick_drift(Time now, CoordinatorActions& actions);
-  // talks.cpp
+  // exchanges.cpp
   void begin_exchange(Time now, CoordinatorActions& actions);
   void on_opened(const Opened& opened, CoordinatorActions& actions);
   void on_accepted(Time now, const Accepted& accepted, CoordinatorActions& actions);
@@ -228,8 +228,8 @@
   members::Members members_;
   facts::Facts facts_;
   recovery::Recovery recovery_;
-  news::EagerPush eager_push_;
-  pace::GossipSchedule gossip_;
+  eager_push::EagerPush eager_push_;
+  gossip_schedule::GossipSchedule gossip_;
   drift::Drift drift_;
   bool rules_known_ = false;         // the active rules of this process have been read back
   bool members_changed_ = true;      // and drift has not been notified
--- a/src/fleet/turn/rules.cpp
+++ b/src/fleet/coordinator/drift_events.cpp
@@ -1,5 +1,5 @@
 // Drift's part in a step: its events and the actions that it requests.
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 
--- a/src/fleet/turn/talks.cpp
+++ b/src/fleet/coordinator/exchanges.cpp
@@ -2,8 +2,8 @@
 // and with whom. No exchange outlives its deadline, and a single new fact does not begin one.
 #include <algorithm>
 
+#include "fleet/coordinator/coordinator.h"
 #include "fleet/facts/sizes.h"
-#include "fleet/turn/turn.h"
 
 namespace reeltack::fleet {
 
--- a/src/fleet/turn/people.cpp
+++ b/src/fleet/coordinator/member_events.cpp
@@ -1,5 +1,5 @@
 // Changes of the members' table: logged, and passed on to recovery, the gossip schedule and drift.
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 namespace {
@@ -32,7 +32,7 @@
   changed.known = 1;
   for (const auto& [id, member] : members_.table())
     changed.known += member.update.health != members::Health::left ? 1 : 0;
-  std::vector<pace::Peer> peers;
+  std::vector<gossip_schedule::Peer> peers;
   for (std::size_t i = 0; i < changed.live.size(); ++i)
     if (changed.live[i] != members_.self().id) peers.push_back({changed.live[i], changed.incarnations[i]});
   gossip_.set_peers(peers);
--- a/src/fleet/turn/urgent.cpp
+++ b/src/fleet/coordinator/push_events.cpp
@@ -4,7 +4,7 @@
 // not take the place of older ones that are still to come.
 #include <array>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 namespace {
@@ -18,10 +18,10 @@
   return found != members_.table().end() && found->second.update.health != members::Health::left;
 }
 
-void Coordinator::on_push(Time now, const news::Message& message, CoordinatorActions& actions) {
+void Coordinator::on_push(Time now, const eager_push::Message& message, CoordinatorActions& actions) {
   const MemberId from = message.envelope.from;
   if (!begun_ || !acceptable(message.envelope) || rate_exceeded(now, from)) return;
-  const news::Counts before = eager_push_.counts();
+  const eager_push::Counts before = eager_push_.counts();
   const auto urgent =
       eager_push_.on_message(now, message, [this](MemberId member) { return is_member(member); });
   for (const facts::Fact& fact : urgent) deliver(now, from, fact, actions);
@@ -43,9 +43,9 @@
   decide(now, recovery::FactReceived{fact}, actions);
 }
 
-void Coordinator::log_refused(Time now, MemberId from, const news::Counts& before,
+void Coordinator::log_refused(Time now, MemberId from, const eager_push::Counts& before,
                               CoordinatorActions& actions) {
-  const news::Counts& after = eager_push_.counts();
+  const eager_push::Counts& after = eager_push_.counts();
   if (after.refused() == before.refused()) return;
   if (refusal_logged_at_ != Time::min() && now < refusal_logged_at_ + kRefusalLogInterval) return;
   refusal_logged_at_ = now;
@@ -78,7 +78,7 @@
     if (member.update.health == members::Health::left) continue;
     (member.update.health == members::Health::dead ? dead : live).push_back(id);
   }
-  for (news::Push& push : eager_push_.due(now, live, dead))
+  for (eager_push::Push& push : eager_push_.due(now, live, dead))
     actions.emplace_back(
         SendPush{members_.table().at(push.to).update.at, push.to, {envelope(), std::move(push.facts)}});
 }
--- a/src/fleet/turn/kept.cpp
+++ b/src/fleet/coordinator/stored_members.cpp
@@ -2,7 +2,7 @@
 // are malformed or exceed a bound.
 #include <charconv>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 namespace {
--- a/src/fleet/drift/approval.h
+++ b/src/fleet/drift/approval.h
@@ -13,7 +13,7 @@
 #include <map>
 #include <set>
 
-#include "fleet/drift/words.h"
+#include "fleet/drift/drift_facts.h"
 #include "fleet/members/ids.h"
 
 namespace reeltack::fleet::drift {
--- a/src/fleet/drift/drift.h
+++ b/src/fleet/drift/drift.h
@@ -3,7 +3,8 @@
 //
 // Input: the process's own rules as read back from the modules that use them, versions from an operator's
 // file, and the facts and states of members. Output: facts to publish, records to store and log lines. Votes
-// and approval are in approval.h, the views of members and their alarms in views.h, the facts in words.h.
+// and approval are in approval.h, the views of members and their alarms in views.h, the facts in
+// drift_facts.h.
 //
 // A vote is published once VotePersisted reports that it is durable; without a store it never is, and that
 // member counts towards no majority. A version is rejected completely if it breaks a bound that the platform
--- a/src/fleet/drift/words.cpp
+++ b/src/fleet/drift/drift_facts.cpp
@@ -1,4 +1,4 @@
-#include "fleet/drift/words.h"
+#include "fleet/drift/drift_facts.h"
 
 #include <algorithm>
 #include <array>
--- a/src/fleet/drift/views.h
+++ b/src/fleet/drift/views.h
@@ -7,7 +7,7 @@
 
 #include <deque>
 
-#include "fleet/drift/words.h"
+#include "fleet/drift/drift_facts.h"
 #include "fleet/members/ids.h"
 #include "rules/catalogue.h"
 
--- a/src/fleet/pace/pace.cpp
+++ b/src/fleet/gossip_schedule/gossip_schedule.cpp
@@ -1,4 +1,4 @@
-#include "fleet/pace/pace.h"
+#include "fleet/gossip_schedule/gossip_schedule.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-namespace reeltack::fleet::pace {
+namespace reeltack::fleet::gossip_schedule {
 namespace {
 
 constexpr std::size_t kUnproductiveRatio = 8;  // an eighth of the bytes
@@ -143,4 +143,4 @@
     throw std::logic_error("gossip schedule: more exchanges to spread a change than needed");
 }
 
-}  // namespace reeltack::fleet::pace
+}  // namespace reeltack::fleet::gossip_schedule
--- a/src/fleet/pace/pace.h
+++ b/src/fleet/gossip_schedule/gossip_schedule.h
@@ -40,7 +40,7 @@
 #include "fleet/members/draws.h"
 #include "fleet/members/ids.h"
 
-namespace reeltack::fleet::pace {
+namespace reeltack::fleet::gossip_schedule {
 
 struct GossipScheduleSettings {
   Duration interval = std::chrono::seconds(1);
@@ -114,4 +114,4 @@
   bool truncated_ = false;        // the last exchange could not carry everything
 };
 
-}  // namespace reeltack::fleet::pace
+}  // namespace reeltack::fleet::gossip_schedule
--- a/src/fleet/link/checks.cpp
+++ b/src/fleet/link/checks.cpp
@@ -52,9 +52,9 @@
   }
 }
 
-void check_bounds(const news::Message& push) {
+void check_bounds(const eager_push::Message& push) {
   if (push.facts.empty()) throw_field_error("facts", "none");
-  check_count(push.facts.size(), news::kMaxFactsPerMessage, "facts");
+  check_count(push.facts.size(), eager_push::kMaxFactsPerMessage, "facts");
   for (std::size_t i = 0; i < push.facts.size(); ++i) {
     const facts::Fact& fact = push.facts[i];
     const std::string field = "facts[" + std::to_string(i) + "]";
@@ -63,7 +63,7 @@
       throw_field_error(field + ".kind",
                         "not allowed in a push: " + std::to_string(static_cast<unsigned>(fact.key.kind)));
     if (fact.deleted) throw_field_error(field + ".deleted", "not allowed in a push");
-    if (fact.value.size() > news::kMaxValueBytes)
+    if (fact.value.size() > eager_push::kMaxValueBytes)
       throw_field_error(field + ".value", std::to_string(fact.value.size()) + " bytes");
     check_fact(fact, field);
   }
--- a/src/fleet/link/checks.h
+++ b/src/fleet/link/checks.h
@@ -13,7 +13,7 @@
 [[noreturn]] void throw_field_error(const std::string& field, const std::string& problem);
 // The checks throw a CodecError that names the first field out of bounds.
 void check_bounds(const members::Message& message);
-void check_bounds(const news::Message& push);
+void check_bounds(const eager_push::Message& push);
 void check_bounds(const Exchange& exchange);
 void check_text(const std::string& text, std::size_t max_bytes, const std::string& field);
 
--- a/src/fleet/link/codec.cpp
+++ b/src/fleet/link/codec.cpp
@@ -40,7 +40,7 @@
   return out;
 }
 
-std::string encode(const news::Message& push) {
+std::string encode(const eager_push::Message& push) {
   std::string out = to_wire(push).SerializeAsString();
   if (out.size() > kMaxDatagramBytes) throw_field_error("news", std::to_string(out.size()) + " bytes");
   return out;
@@ -56,7 +56,7 @@
 }
 
 std::size_t wire_size(const members::Message& message) { return to_wire(message).ByteSizeLong(); }
-std::size_t wire_size(const news::Message& push) { return to_wire(push).ByteSizeLong(); }
+std::size_t wire_size(const eager_push::Message& push) { return to_wire(push).ByteSizeLong(); }
 std::size_t wire_size(const Exchange& exchange) {
   return kFrameLengthBytes + to_wire(exchange).ByteSizeLong();
 }
@@ -67,10 +67,10 @@
   return parse<wire::Message, members::Message>(datagram, "message");
 }
 
-news::Message decode_push(std::string_view datagram) {
+eager_push::Message decode_push(std::string_view datagram) {
   if (datagram.empty() || datagram.size() > kMaxReceivedDatagramBytes)
     throw_field_error("news", std::to_string(datagram.size()) + " bytes");
-  return parse<wire::News, news::Message>(datagram, "news");
+  return parse<wire::News, eager_push::Message>(datagram, "news");
 }
 
 bool is_push(std::string_view datagram) {
--- a/src/fleet/link/codec.h
+++ b/src/fleet/link/codec.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <string_view>
 
+#include "fleet/coordinator/coordinator.h"
 #include "fleet/members/members.h"
-#include "fleet/turn/turn.h"
 
 namespace reeltack::fleet::link {
 
@@ -43,14 +43,14 @@
 
 // The encoders throw a CodecError if the message violates a bound of the protocol or is too long to be sent.
 std::string encode(const members::Message& message);
-std::string encode(const news::Message& push);
+std::string encode(const eager_push::Message& push);
 std::string encode(const Exchange& exchange);  // includes the length prefix
 std::size_t wire_size(const members::Message& message);
-std::size_t wire_size(const news::Message& push);
+std::size_t wire_size(const eager_push::Message& push);
 std::size_t wire_size(const Exchange& exchange);  // includes the length prefix
 
 members::Message decode_message(std::string_view datagram);
-news::Message decode_push(std::string_view datagram);
+eager_push::Message decode_push(std::string_view datagram);
 // Whether a datagram is an eager push. False for a membership message, and for a datagram that is neither or
 // that has another version; such a datagram is to be decoded as a membership message.
 bool is_push(std::string_view datagram);
--- a/src/fleet/link/from_wire.cpp
+++ b/src/fleet/link/from_wire.cpp
@@ -89,13 +89,13 @@
   return out;
 }
 
-news::Message from_wire(const wire::News& n) {
-  news::Message out;
+eager_push::Message from_wire(const wire::News& n) {
+  eager_push::Message out;
   out.envelope = from_wire(n.envelope());
   reject_unknown(n, "news");
   // Checked before anything is copied, to bound the memory that a peer can make us use.
   const auto facts = static_cast<std::size_t>(n.facts_size());
-  if (facts > news::kMaxFactsPerMessage) throw_field_error("facts", std::to_string(facts) + " of them");
+  if (facts > eager_push::kMaxFactsPerMessage) throw_field_error("facts", std::to_string(facts) + " of them");
   for (int i = 0; i < n.facts_size(); ++i) {
     const wire::NewsFact& f = n.facts(i);
     const std::string field = indexed("facts", i);
--- a/src/fleet/link/link.h
+++ b/src/fleet/link/link.h
@@ -31,7 +31,7 @@
 #include <memory>
 #include <stdexcept>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet::link {
 
--- a/src/fleet/link/to_wire.cpp
+++ b/src/fleet/link/to_wire.cpp
@@ -53,7 +53,7 @@
   return out;
 }
 
-wire::News to_wire(const news::Message& push) {
+wire::News to_wire(const eager_push::Message& push) {
   check_bounds(push);
   wire::News out;
   write(push.envelope, *out.mutable_envelope());
--- a/src/fleet/link/wire.h
+++ b/src/fleet/link/wire.h
@@ -11,11 +11,11 @@
 }
 // The conversions check presence, unknown fields and ranges, and throw a CodecError that names the field.
 wire::Message to_wire(const members::Message& message);
-wire::News to_wire(const news::Message& push);
+wire::News to_wire(const eager_push::Message& push);
 wire::Exchange to_wire(const Exchange& exchange);
 Envelope from_wire(const wire::Envelope& envelope);  // accepts any version
 members::Message from_wire(const wire::Message& message);
-news::Message from_wire(const wire::News& push);
+eager_push::Message from_wire(const wire::News& push);
 Exchange from_wire(const wire::Exchange& exchange);
 
 }  // namespace reeltack::fleet::link
--- a/src/fleet/sums/sums.cpp
+++ b/src/fleet/outcome_counters/outcome_counters.cpp
@@ -1,8 +1,8 @@
-#include "fleet/sums/sums.h"
+#include "fleet/outcome_counters/outcome_counters.h"
 
 #include <stdexcept>
 
-namespace reeltack::fleet::sums {
+namespace reeltack::fleet::outcome_counters {
 namespace {
 using namespace std::chrono_literals;
 constexpr Duration kAnswerRepeatInterval = 500ms;  // repeated answers add little within this time
@@ -101,4 +101,4 @@
   return collected_ + (opens || collected_ < fast_until_ ? kFastReportInterval : kSlowReportInterval);
 }
 
-}  // namespace reeltack::fleet::sums
+}  // namespace reeltack::fleet::outcome_counters
--- a/src/fleet/sums/sums.h
+++ b/src/fleet/outcome_counters/outcome_counters.h
@@ -26,7 +26,7 @@
 
 #include "fleet/recovery/recovery_types.h"
 
-namespace reeltack::fleet::sums {
+namespace reeltack::fleet::outcome_counters {
 
 inline constexpr Duration kFastReportInterval = std::chrono::milliseconds(100);
 inline constexpr Duration kSlowReportInterval = std::chrono::seconds(1);
@@ -109,4 +109,4 @@
   Time fast_until_ = Time::min();  // after a trigger the fast interval applies until then, in every stage
 };
 
-}  // namespace reeltack::fleet::sums
+}  // namespace reeltack::fleet::outcome_counters
--- a/src/fleet/news/news.cpp
+++ b/src/fleet/push/eager_push.cpp
@@ -1,10 +1,10 @@
 // Which facts are urgent, and which facts of a received message are accepted.
-#include "fleet/news/news.h"
+#include "fleet/push/eager_push.h"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace reeltack::fleet::news {
+namespace reeltack::fleet::eager_push {
 namespace {
 
 using recovery::OfficeState;
@@ -155,4 +155,4 @@
             "a finished push is still active");
 }
 
-}  // namespace reeltack::fleet::news
+}  // namespace reeltack::fleet::eager_push
--- a/src/fleet/news/news.h
+++ b/src/fleet/push/eager_push.h
@@ -39,7 +39,7 @@
 #include "fleet/members/draws.h"
 #include "fleet/recovery/values.h"
 
-namespace reeltack::fleet::news {
+namespace reeltack::fleet::eager_push {
 
 struct Message {
   Envelope envelope;
@@ -151,4 +151,4 @@
   Counts counts_;
 };
 
-}  // namespace reeltack::fleet::news
+}  // namespace reeltack::fleet::eager_push
--- a/src/fleet/news/push.cpp
+++ b/src/fleet/push/forwarding.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 #include <numeric>
 
-#include "fleet/news/news.h"
+#include "fleet/push/eager_push.h"
 
-namespace reeltack::fleet::news {
+namespace reeltack::fleet::eager_push {
 namespace {
 
 constexpr std::size_t kMessageOverhead = 80;  // as for the members' messages
@@ -113,4 +113,4 @@
   return next;
 }
 
-}  // namespace reeltack::fleet::news
+}  // namespace reeltack::fleet::eager_push
--- a/src/fleet/recovery/offices.cpp
+++ b/src/fleet/recovery/offices.cpp
@@ -5,8 +5,8 @@
 #include <stdexcept>
 #include <tuple>
 
+#include "fleet/recovery/evidence_order.h"
 #include "fleet/recovery/mix.h"
-#include "fleet/recovery/sight.h"
 
 namespace reeltack::fleet::recovery {
 
--- a/src/fleet/recovery/publishing.cpp
+++ b/src/fleet/recovery/publishing.cpp
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "fleet/recovery/evidence_order.h"
 #include "fleet/recovery/mix.h"
 #include "fleet/recovery/recovery.h"
-#include "fleet/recovery/sight.h"
 
 namespace reeltack::fleet::recovery {
 namespace {
--- a/src/fleet/recovery/recovery.h
+++ b/src/fleet/recovery/recovery.h
@@ -177,7 +177,7 @@
   [[nodiscard]] double growth_limit() const;
   [[nodiscard]] double trusted_capacity() const;
   [[nodiscard]] Duration longest_stay() const;
-  // telling.cpp
+  // terms_and_log.cpp
   [[nodiscard]] bool without_fleet_and_store() const { return !linked_ && !has_stored_state_; }
   [[nodiscard]] Terms terms(Time now) const;
   [[nodiscard]] Verdict effective_verdict(const OfficeAssessment& assessment) const;
--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 #include <tuple>
 
+#include "fleet/recovery/evidence_order.h"
 #include "fleet/recovery/offices.h"
-#include "fleet/recovery/sight.h"
 
 namespace reeltack::fleet::recovery {
 
--- a/src/fleet/service/counters.h
+++ b/src/fleet/service/counters.h
@@ -14,25 +14,26 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/sums/sums.h"
+#include "fleet/outcome_counters/outcome_counters.h"
 
 namespace reeltack::fleet {
 
 class ObservationCounters {
  public:
-  bool add(Time now, ServerId id, sums::Outcome outcome);  // true: report at once, see sums::UrgencyTrigger
-  void read(std::vector<sums::Totals>& out) const;         // replaces the contents of `out`
+  // true: report at once, see outcome_counters::UrgencyTrigger
+  bool add(Time now, ServerId id, outcome_counters::Outcome outcome);
+  void read(std::vector<outcome_counters::Totals>& out) const;  // replaces the contents of `out`
 
  private:
   struct Slot {
     ServerId office{};  // not changed once the slot is published
     std::atomic<std::uint32_t> established{0}, refused{0}, failed{0};
-    std::atomic<std::int64_t> last_liveness{0};  // time in nanoseconds * 4 + sums::Liveness
-    sums::UrgencyTrigger urgency;                // used by the writer only
+    std::atomic<std::int64_t> last_liveness{0};  // time in nanoseconds * 4 + outcome_counters::Liveness
+    outcome_counters::UrgencyTrigger urgency;    // used by the writer only
   };
   static constexpr std::size_t kBlock = 64;
   using Block = std::array<Slot, kBlock>;
-  std::array<std::unique_ptr<Block>, sums::kMaxOffices / kBlock> blocks_;
+  std::array<std::unique_ptr<Block>, outcome_counters::kMaxOffices / kBlock> blocks_;
   std::atomic<std::size_t> used_{0};           // number of slots published to the reader
   std::unordered_map<ServerId, Slot*> slots_;  // used by the writer only
 };
--- a/src/fleet/service/keeping.cpp
+++ b/src/fleet/service/fleet_storage.cpp
@@ -1,5 +1,5 @@
 // Implementation of FleetStorage.
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 
 #include <charconv>
 #include <stdexcept>
--- a/src/fleet/service/keeping.h
+++ b/src/fleet/service/fleet_storage.h
@@ -24,7 +24,7 @@
 #include <optional>
 
 #include "config/controllers.h"
-#include "store/keeper.h"
+#include "store/async_store.h"
 
 namespace reeltack::fleet {
 
--- a/src/fleet/service/sightings.cpp
+++ b/src/fleet/service/office_observations.cpp
@@ -1,4 +1,4 @@
-#include "fleet/service/sightings.h"
+#include "fleet/service/office_observations.h"
 
 #include <algorithm>
 
@@ -7,20 +7,20 @@
 namespace reeltack::fleet {
 namespace {
 
-sums::Outcome outcome_of(core::OfficeObserver::OfficeObservation observation) {
+outcome_counters::Outcome outcome_of(core::OfficeObserver::OfficeObservation observation) {
   switch (observation) {
     case core::OfficeObserver::OfficeObservation::answered:
-      return sums::Outcome::answered;
+      return outcome_counters::Outcome::answered;
     case core::OfficeObserver::OfficeObservation::refused:
-      return sums::Outcome::refused;
+      return outcome_counters::Outcome::refused;
     case core::OfficeObserver::OfficeObservation::broke:
-      return sums::Outcome::broke;
+      return outcome_counters::Outcome::broke;
     case core::OfficeObserver::OfficeObservation::silent:
-      return sums::Outcome::silent;
+      return outcome_counters::Outcome::silent;
     case core::OfficeObserver::OfficeObservation::unreachable:
       break;
   }
-  return sums::Outcome::unreachable;
+  return outcome_counters::Outcome::unreachable;
 }
 
 }  // namespace
@@ -59,8 +59,8 @@
   if (reporter_.is_tracked(office)) return;
   counters_.read(totals_);
   const auto found = std::find_if(totals_.begin(), totals_.end(),
-                                  [&](const sums::Totals& t) { return t.office == office.id; });
-  reporter_.track(office, found == totals_.end() ? sums::Totals{} : *found);
+                                  [&](const outcome_counters::Totals& t) { return t.office == office.id; });
+  reporter_.track(office, found == totals_.end() ? outcome_counters::Totals{} : *found);
 }
 
 void OfficeObservations::collect(Time now, std::vector<recovery::Event>& out) {
--- a/src/fleet/service/sightings.h
+++ b/src/fleet/service/office_observations.h
@@ -1,5 +1,6 @@
 // Turns what the core observes of offices into evidence and load reports for the fleet: counted on the core's
-// thread, collected on the link's. fleet/sums defines what is reported when. It does not judge offices.
+// thread, collected on the link's. fleet/outcome_counters defines what is reported when. It does not judge
+// offices.
 //
 // Threads: saw() by the core's only, where it costs a few loads and stores; the rest by the link's only. All
 // times are steady ones, passed in by the caller.
@@ -9,8 +10,8 @@
 #include <vector>
 
 #include "core/core.h"
+#include "fleet/outcome_counters/outcome_counters.h"
 #include "fleet/service/counters.h"
-#include "fleet/sums/sums.h"
 
 namespace reeltack::fleet {
 
@@ -32,8 +33,8 @@
  private:
   ObservationCounters counters_;
   std::atomic<bool> urgent_{false};
-  sums::OutcomeReporter reporter_;
-  std::vector<sums::Totals> totals_;  // as last read
+  outcome_counters::OutcomeReporter reporter_;
+  std::vector<outcome_counters::Totals> totals_;  // as last read
 };
 
 }  // namespace reeltack::fleet
--- a/src/fleet/service/prepared.h
+++ b/src/fleet/service/prepared.h
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "config/controllers.h"
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 
 namespace reeltack::fleet {
 
--- a/src/fleet/service/reading.cpp
+++ b/src/fleet/service/rules_reader.cpp
@@ -1,4 +1,4 @@
-#include "fleet/service/reading.h"
+#include "fleet/service/rules_reader.h"
 
 #include "config/terms.h"
 #include "config/versions.h"
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -6,10 +6,10 @@
 #include "config/versions.h"
 #include "fleet/link/link.h"
 #include "fleet/service/log.h"
-#include "fleet/service/reading.h"
-#include "fleet/service/shown.h"
-#include "fleet/service/sightings.h"
-#include "fleet/service/terms.h"
+#include "fleet/service/office_observations.h"
+#include "fleet/service/rules_reader.h"
+#include "fleet/service/stats_snapshot.h"
+#include "fleet/service/terms_translator.h"
 
 namespace reeltack::fleet {
 namespace {
--- a/src/fleet/service/shown.cpp
+++ b/src/fleet/service/stats_snapshot.cpp
@@ -1,5 +1,5 @@
 // Copying and formatting of the fleet's figures.
-#include "fleet/service/shown.h"
+#include "fleet/service/stats_snapshot.h"
 
 namespace reeltack::fleet {
 
@@ -38,7 +38,7 @@
   list_number_ = r.list().number;
   list_digest_ = r.list().digest;
   list_wins_ = r.winning_list().digest;
-  const news::Counts& news = coordinator.eager_push().counts();
+  const eager_push::Counts& news = coordinator.eager_push().counts();
   news_in_ = news.messages_received;
   news_out_ = news.messages_sent;
   news_refused_ = news.refused();
--- a/src/fleet/service/terms.cpp
+++ b/src/fleet/service/terms_translator.cpp
@@ -1,9 +1,9 @@
-#include "fleet/service/terms.h"
+#include "fleet/service/terms_translator.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "fleet/service/sightings.h"
+#include "fleet/service/office_observations.h"
 
 namespace reeltack::fleet {
 namespace {
--- a/src/limits/patience.cpp
+++ b/src/limits/peer_deadlines.cpp
@@ -1,4 +1,4 @@
-#include "limits/patience.h"
+#include "limits/peer_deadlines.h"
 
 #include <algorithm>
 
--- a/src/membership/releases.cpp
+++ b/src/membership/pending_releases.cpp
@@ -1,4 +1,4 @@
-#include "membership/releases.h"
+#include "membership/pending_releases.h"
 
 #include <algorithm>
 
--- a/src/membership/reach.cpp
+++ b/src/membership/reachability.cpp
@@ -1,4 +1,4 @@
-#include "membership/reach.h"
+#include "membership/reachability.h"
 
 #include <algorithm>
 
--- a/src/membership/watch_pacing.cpp
+++ b/src/membership/watch_backoff.cpp
@@ -1,4 +1,4 @@
-#include "membership/watch_pacing.h"
+#include "membership/watch_backoff.h"
 
 #include <algorithm>
 
--- a/src/net/door.cpp
+++ b/src/net/connection_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/door.h"
+#include "net/connection_listener.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -15,7 +15,7 @@
 #include <mutex>
 #include <set>
 
-#include "limits/patience.h"
+#include "limits/peer_deadlines.h"
 #include "net/buffers.h"
 #include "net/loop.h"
 
--- a/src/platform/bulletin.h
+++ b/src/platform/bulletin.h
@@ -13,7 +13,7 @@
 #include <random>
 
 #include "core/office_list.h"
-#include "membership/watch_pacing.h"
+#include "membership/watch_backoff.h"
 #include "net/buffers.h"
 
 namespace reeltack::platform {
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -19,8 +19,8 @@
 #include <vector>
 
 #include "core/core.h"
-#include "membership/reach.h"
-#include "membership/releases.h"
+#include "membership/pending_releases.h"
+#include "membership/reachability.h"
 #include "net/buffers.h"
 #include "net/loop.h"
 
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 
 #include "core/core.h"
-#include "net/door.h"
+#include "net/connection_listener.h"
 #include "platform/sip_message.h"
 
 namespace reeltack::platform {
--- a/src/platform/sip_connection.h
+++ b/src/platform/sip_connection.h
@@ -5,7 +5,7 @@
 // Threads: as net::Peer; the releases are guarded by the frontend's lock.
 #pragma once
 
-#include "membership/releases.h"
+#include "membership/pending_releases.h"
 #include "platform/sip.h"
 
 namespace reeltack::platform {
--- a/src/policy/arrival.h
+++ b/src/policy/admission.h
@@ -2,7 +2,7 @@
 // This layer handles neither attempts nor unanswered set-ups.
 #pragma once
 
-#include "policy/finals.h"
+#include "policy/final_answers.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/slots.h
+++ b/src/policy/dispatch.h
@@ -2,7 +2,7 @@
 // another server or sent next. Every send passes send(), which holds the five rules.
 #pragma once
 
-#include "policy/arrival.h"
+#include "policy/admission.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/tests.h
+++ b/src/policy/eligibility.h
@@ -3,7 +3,7 @@
 // nothing.
 #pragma once
 
-#include "policy/shared.h"
+#include "policy/shared_state.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/finals.h
+++ b/src/policy/final_answers.h
@@ -2,7 +2,7 @@
 // ends here, exactly once, and thereby leaves its queue; no other layer answers a caller.
 #pragma once
 
-#include "policy/choice.h"
+#include "policy/server_selection.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/outcomes.h
+++ b/src/policy/outcome_handling.h
@@ -3,7 +3,7 @@
 // or waits for the end of its release guard.
 #pragma once
 
-#include "policy/slots.h"
+#include "policy/dispatch.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -9,7 +9,7 @@
 // Each step is a layer that uses only the layers below it: shared state, eligibility, server selection, final
 // answers, admission, dispatch, outcomes, server list. This file runs the layers in order at each step and
 // sets the timer; it decides on no call.
-#include "policy/list.h"
+#include "policy/server_list.h"
 
 namespace reeltack {
 
--- a/src/policy/list.h
+++ b/src/policy/server_list.h
@@ -2,7 +2,7 @@
 // a server that is no longer ready. Handles no other event.
 #pragma once
 
-#include "policy/outcomes.h"
+#include "policy/outcome_handling.h"
 
 namespace reeltack::policy {
 
--- a/src/policy/choice.h
+++ b/src/policy/server_selection.h
@@ -2,7 +2,7 @@
 // comes. Queues are changed by insert() and remove() alone. This layer sends and refuses nothing.
 #pragma once
 
-#include "policy/tests.h"
+#include "policy/eligibility.h"
 
 namespace reeltack::policy {
 
--- a/src/store/keeper.cpp
+++ b/src/store/async_store.cpp
@@ -1,5 +1,5 @@
 // Starts and ends the threads of the asynchronous store.
-#include "store/keeper.h"
+#include "store/async_store.h"
 
 #include <optional>
 #include <stdexcept>
--- a/src/store/keeper.h
+++ b/src/store/async_store.h
@@ -28,7 +28,7 @@
 #include <string>
 
 #include "base/base.h"
-#include "store/keeper_types.h"
+#include "store/async_store_types.h"
 #include "store/store.h"
 
 namespace reeltack::store {
--- a/src/store/keeper_types.cpp
+++ b/src/store/async_store_types.cpp
@@ -1,5 +1,5 @@
 // Text form of the events of the asynchronous store.
-#include "store/keeper_types.h"
+#include "store/async_store_types.h"
 
 #include <algorithm>
 
--- a/src/store/contents.cpp
+++ b/src/store/contents.cpp
@@ -1,7 +1,7 @@
 // Opens and verifies the database file, and writes each batch as one transaction.
 #include "store/contents.h"
 
-#include "store/write_again.h"
+#include "store/rewrite_files.h"
 
 namespace reeltack::store {
 namespace {
--- a/src/store/disk_calls.cpp
+++ b/src/store/disk_call_monitor.cpp
@@ -1,5 +1,5 @@
 // Disk calls and their supervision.
-#include "store/disk_calls.h"
+#include "store/disk_call_monitor.h"
 
 namespace reeltack::store {
 
--- a/src/store/disk_calls.h
+++ b/src/store/disk_call_monitor.h
@@ -14,8 +14,8 @@
 #include <mutex>
 #include <optional>
 
-#include "store/call_watch.h"
-#include "store/keeper_types.h"
+#include "store/async_store_types.h"
+#include "store/disk_call_timer.h"
 
 namespace reeltack::store {
 
--- a/src/store/failure_report.h
+++ b/src/store/failure_reporter.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "base/outage.h"
-#include "store/keeper_types.h"
+#include "store/async_store_types.h"
 
 namespace reeltack::store {
 
--- a/src/store/folder.h
+++ b/src/store/folder.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "store/faults.h"
+#include "store/fault_injector.h"
 #include "store/lock.h"
 
 namespace reeltack::store {
--- a/src/store/write_again.cpp
+++ b/src/store/rewrite_files.cpp
@@ -1,5 +1,5 @@
 // Rewrites and syncs the files of a store.
-#include "store/write_again.h"
+#include "store/rewrite_files.h"
 
 #include <sqlite3.h>
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -7,7 +7,7 @@
 // the same transaction). Wrong content is never accepted as valid, and unreadable files are never
 // deleted. The store does not interpret values.
 //
-// Calls wait for the disk, so the core must not make them; see store/keeper.h. Not thread-safe. Errors:
+// Calls wait for the disk, so the core must not make them; see store/async_store.h. Not thread-safe. Errors:
 // only std::bad_alloc is thrown; each call returns a text that names the file. Times (the Unix clock
 // and the time since boot) are passed in by the caller. A full disk is reported as an error. If the
 // process has a limit on file sizes (RLIMIT_FSIZE), SIGXFSZ must be ignored for that to be reported as
@@ -26,7 +26,7 @@
 #include "clocks/boot_time.h"
 #include "clocks/wall_time.h"
 #include "reeltack/controller.h"
-#include "store/faults.h"
+#include "store/fault_injector.h"
 
 namespace reeltack::store {
 
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -5,7 +5,7 @@
 // Thread safety: run() runs on the writing thread, watch() on the watching one, all others on any.
 // `on_event` is called by one thread at a time, `on_records_found` on the writing thread. A call to the
 // disk that never returns blocks run() for good: stop() then abandons it, and everything that run()
-// still uses must outlive it (see store/keeper.cpp).
+// still uses must outlive it (see store/async_store.cpp).
 #pragma once
 
 #include <condition_variable>
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
+#include "store/async_store_types.h"
 #include "store/change_queue.h"
-#include "store/disk_calls.h"
-#include "store/failure_report.h"
-#include "store/keeper_types.h"
+#include "store/disk_call_monitor.h"
+#include "store/failure_reporter.h"
 
 namespace reeltack::store {
 
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -13,8 +13,8 @@
 #include "base/json.h"
 #include "core/core.h"
 #include "core/office_list.h"
-#include "membership/releases.h"
-#include "net/door.h"
+#include "membership/pending_releases.h"
+#include "net/connection_listener.h"
 
 namespace reeltack::ws {
 
--- a/tests/crossings/connection_test.cpp
+++ b/tests/crossings/connection_test.cpp
@@ -4,7 +4,7 @@
 #include <atomic>
 #include <future>
 
-#include "net/door.h"
+#include "net/connection_listener.h"
 
 namespace reeltack::test {
 namespace {
--- a/tests/fleet/controller_disk.h
+++ b/tests/fleet/controller_disk.h
@@ -12,7 +12,7 @@
 #include "base/wall_clock.h"
 #include "faulty_vfs.h"
 #include "fleet/recovery/values.h"
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 #include "script.h"
 
 namespace reeltack::fleet {
--- a/tests/fleet/turn_world.cpp
+++ b/tests/fleet/coordinator_world.cpp
@@ -1,6 +1,6 @@
-// The simulation's clock, nodes, links and stores. Offices and calls: turn_world_calls.cpp; exchange
-// connections: turn_world_talks.cpp.
-#include "turn_world.h"
+// The simulation's clock, nodes, links and stores. Offices and calls: coordinator_world_calls.cpp; exchange
+// connections: coordinator_world_exchanges.cpp.
+#include "coordinator_world.h"
 
 #include <algorithm>
 
@@ -201,7 +201,7 @@
       const std::size_t bytes = members::encoded_size(membership->message);
       datagram(i, membership->to, bytes, MembershipReceived{std::move(membership->message)});
     } else if (auto* push = std::get_if<SendPush>(&action)) {
-      const std::size_t bytes = news::encoded_size(push->message);
+      const std::size_t bytes = eager_push::encoded_size(push->message);
       ++n.push_messages;
       n.push_bytes += bytes;
       if (settings_.deliver_pushes) datagram(i, push->to, bytes, PushReceived{std::move(push->message)});
--- a/tests/fleet/turn_world.h
+++ b/tests/fleet/coordinator_world.h
@@ -14,8 +14,8 @@
 #include <queue>
 #include <set>
 
-#include "fleet/service/sightings.h"
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
+#include "fleet/service/office_observations.h"
 
 namespace reeltack::test {
 
--- a/tests/fleet/turn_world_calls.cpp
+++ b/tests/fleet/coordinator_world_calls.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "turn_world.h"
+#include "coordinator_world.h"
 
 namespace reeltack::test {
 
--- a/tests/fleet/turn_world_talks.cpp
+++ b/tests/fleet/coordinator_world_exchanges.cpp
@@ -2,7 +2,7 @@
 // or the death of a node.
 #include <algorithm>
 
-#include "turn_world.h"
+#include "coordinator_world.h"
 
 namespace reeltack::test {
 
--- a/tests/fleet/drift_turn_test.cpp
+++ b/tests/fleet/drift_coordinator_test.cpp
@@ -1,7 +1,7 @@
 // Drift within the coordinator: by which fleet size a version is approved, and what is stored and logged.
 #include <gtest/gtest.h>
 
-#include "fleet/turn/turn.h"
+#include "fleet/coordinator/coordinator.h"
 
 namespace reeltack::fleet {
 namespace {
--- a/tests/fleet/drift_words_test.cpp
+++ b/tests/fleet/drift_facts_test.cpp
@@ -1,7 +1,7 @@
 // The text form of versions and of the facts about rules: one spelling each, and everything else rejected.
-#include <gtest/gtest.h>
+#include "fleet/drift/drift_facts.h"
 
-#include "fleet/drift/words.h"
+#include <gtest/gtest.h>
 
 namespace reeltack::fleet::drift {
 namespace {
--- a/tests/fleet/news_test.cpp
+++ b/tests/fleet/eager_push_test.cpp
@@ -1,6 +1,6 @@
 // Eager push on its own: which facts are accepted or refused, and, in virtual time, which members a fact
 // reaches, how soon, and at what cost.
-#include "fleet/news/news.h"
+#include "fleet/push/eager_push.h"
 
 #include <gtest/gtest.h>
 
@@ -41,10 +41,10 @@
   std::uint64_t missed = 0;            // facts times members that they did not reach
 };
 Spread spread(std::size_t size, double loss, std::size_t fact_count, std::uint64_t seed,
-              news::EagerPushSettings settings = {}) {
+              eager_push::EagerPushSettings settings = {}) {
   VirtualNetwork<std::vector<facts::Fact>> net(size, seed);
   net.every_link({loss, 1ms, 5ms, false});
-  std::vector<news::EagerPush> nodes;
+  std::vector<eager_push::EagerPush> nodes;
   for (std::size_t i = 0; i < size; ++i) nodes.emplace_back(settings, member(i), seed * 1000 + i);
   Spread out;
   std::vector<bool> reached;
@@ -52,7 +52,7 @@
     std::vector<MemberId> others;
     for (std::size_t j = 0; j < size; ++j)
       if (j != i) others.push_back(member(j));
-    for (const news::Push& p : nodes[i].due(net.now(), others))
+    for (const eager_push::Push& p : nodes[i].due(net.now(), others))
       net.send(i, static_cast<std::size_t>(p.to) - 1, p.facts);
     net.alarm(i, nodes[i].next());
     nodes[i].check();
@@ -67,7 +67,7 @@
     net.run(
         net.now() + 2s,
         [&](std::size_t to, std::size_t from, const std::vector<facts::Fact>& pushed) {
-          news::Message message{{}, pushed};
+          eager_push::Message message{{}, pushed};
           message.envelope.from = member(from);
           for (const facts::Fact& f :
                nodes[to].on_message(net.now(), message, [](MemberId) { return true; })) {
@@ -85,7 +85,7 @@
   net.run(
       net.now() + 60s, [](auto, auto, const auto&) {}, push);
   EXPECT_EQ(net.sent(), sent) << "pushed although nothing is urgent";
-  for (const news::EagerPush& node : nodes) {
+  for (const eager_push::EagerPush& node : nodes) {
     out.messages += static_cast<double>(node.counts().messages_sent) / static_cast<double>(fact_count);
     out.bytes += static_cast<double>(node.counts().bytes_sent) / static_cast<double>(fact_count);
     EXPECT_EQ(node.counts().refused() + node.counts().dropped, 0U);
@@ -125,11 +125,11 @@
 }
 
 TEST(EagerPush, AcceptsOnlyTheEndOfAProcessLifetimeOrANewerStart) {
-  news::EagerPush node({}, member(0), 1);
+  eager_push::EagerPush node({}, member(0), 1);
   const Time now = Time{} + 100s;
   const auto is_member = [](MemberId id) { return id < MemberId{10}; };
   const auto accepted = [&](const facts::Fact& f, MemberId from = member(1)) {
-    news::Message message{{}, {f}};
+    eager_push::Message message{{}, {f}};
     message.envelope.from = from;
     return node.on_message(now, message, is_member).size();
   };
@@ -150,7 +150,7 @@
   facts::Fact no_value = fact(member(1), 2, 5, OfficeState::gone);
   no_value.value += "x";
   EXPECT_EQ(accepted(no_value), 0U);
-  const news::Counts& c = node.counts();
+  const eager_push::Counts& c = node.counts();
   EXPECT_EQ(std::tuple(c.too_old, c.non_member, c.own, c.malformed), std::tuple(1U, 2U, 1U, 1U));
   EXPECT_EQ(accepted(fact(member(1), 2, 5, OfficeState::gone)), 1U)
       << "a refused fact is not remembered as known";
@@ -160,7 +160,7 @@
 // own older facts that arrive later.
 TEST(EagerPush, AFactDeliveredAheadIsPushedOnceThoughOlderFactsOfItsOwnerFollow) {
   for (const bool ahead : {true, false}) {
-    news::EagerPush node({}, member(0), 1);
+    eager_push::EagerPush node({}, member(0), 1);
     const std::vector<MemberId> others{member(1), member(2), member(3)};
     Time now = Time{} + 100s;
     const auto pushed = [&] {
@@ -169,7 +169,7 @@
       return out;
     };
     const facts::Fact ended = fact(member(1), 1, 0, OfficeState::draining, 40);
-    news::Message message{{}, {ended}};
+    eager_push::Message message{{}, {ended}};
     message.envelope.from = member(1);
     ASSERT_EQ(node.on_message(now, message, [](MemberId) { return true; }).size(), 1U);
     if (ahead) node.mark_delivered_ahead(ended);
@@ -184,22 +184,22 @@
 }
 
 TEST(EagerPush, AFloodIsBoundedAndOtherMembersAreAccepted) {
-  const news::EagerPushSettings settings;
-  news::EagerPush node(settings, member(0), 1);
+  const eager_push::EagerPushSettings settings;
+  eager_push::EagerPush node(settings, member(0), 1);
   const Time now = Time{} + 100s;
   const std::vector<MemberId> others{member(1), member(2), member(3), member(4)};
   std::size_t accepted = 0, messages = 0, bytes = 0;
   std::uint32_t office = 0;
   const auto flood = [&](MemberId from, std::size_t times) {
     for (std::size_t i = 0; i < times; ++i) {
-      news::Message message{{}, {}};
+      eager_push::Message message{{}, {}};
       message.envelope.from = from;
       for (std::size_t f = 0; f < 16; ++f)
         message.facts.push_back(fact(from, office++, 1, OfficeState::gone));
       accepted += node.on_message(now, message, [](MemberId) { return true; }).size();
-      for (const news::Push& p : node.due(now, others)) {
+      for (const eager_push::Push& p : node.due(now, others)) {
         ++messages;
-        bytes += news::encoded_size({{}, p.facts});
+        bytes += eager_push::encoded_size({{}, p.facts});
       }
       node.check();
     }
--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/fleet_storage_hanging_test.cpp
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include "faulty_vfs.h"
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 #include "gate.h"
 #include "script.h"
 
--- a/tests/fleet/keeping_test.cpp
+++ b/tests/fleet/fleet_storage_test.cpp
@@ -1,6 +1,6 @@
 // Promises on a failing disk: none is reported as durable that is not, and the vote of an earlier run counts
 // even if it could not be read at the start.
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 
 #include <thread>
 
--- a/tests/fleet/pace_test.cpp
+++ b/tests/fleet/gossip_schedule_test.cpp
@@ -1,12 +1,12 @@
 // The gossip schedule case by case: byte budget and debt, urgency, and the choice of the partner.
-#include "fleet/pace/pace.h"
+#include "fleet/gossip_schedule/gossip_schedule.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 #include <vector>
 
-namespace reeltack::fleet::pace {
+namespace reeltack::fleet::gossip_schedule {
 namespace {
 
 using namespace std::chrono_literals;
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace reeltack::fleet::pace
+}  // namespace reeltack::fleet::gossip_schedule
--- a/tests/fleet/link_codec_test.cpp
+++ b/tests/fleet/link_codec_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(bytes.size(), wire_size(message));
     expect_equal(message, decode_message(bytes));
     EXPECT_FALSE(is_push(bytes));
-    const news::Message news = random.push();
+    const eager_push::Message news = random.push();
     const std::string encoded = encode(news);
     EXPECT_EQ(encoded.size(), wire_size(news));
     EXPECT_TRUE(is_push(encoded));
@@ -58,8 +58,8 @@
     message.envelope.incarnation %= members::kMaxIncarnation;
     for (members::Update& u : message.updates) u.incarnation %= members::kMaxIncarnation;
     EXPECT_LE(wire_size(message), members::encoded_size(message)) << "message " << i;
-    const news::Message news = random.push();
-    EXPECT_LE(wire_size(news), news::encoded_size(news)) << "news " << i;
+    const eager_push::Message news = random.push();
+    EXPECT_LE(wire_size(news), eager_push::encoded_size(news)) << "news " << i;
     const Exchange exchange = random.exchange();
     std::size_t parts = exchange.delta.owners.size();
     for (const facts::OwnerDelta& of : exchange.delta.owners) parts += of.facts.size();
@@ -112,7 +112,7 @@
   EXPECT_EQ(error({"\x10\x06", 2}), "kind: unknown: 6");
   EXPECT_EQ(error({"\x32\x7f", 2}), "message: not a message of the protocol");
   // An eager push decoded by a program that does not know pushes, and pushes that lack required fields.
-  news::Message news = random.push();
+  eager_push::Message news = random.push();
   news.facts.resize(1);
   const std::string encoded = encode(news);
   EXPECT_EQ(error_of([&] { (void)decode_message(encoded); }).substr(0, 26), "message: unknown fields of");
@@ -148,7 +148,7 @@
   m.updates[0].name = "\xc3";
   EXPECT_EQ(error(m), "updates[0].name: not valid UTF-8");
 
-  news::Message news;
+  eager_push::Message news;
   EXPECT_EQ(error(news), "facts: none");
   news.facts.assign(17, Random(kSeed).push().facts[0]);
   EXPECT_EQ(error(news), "facts: 17 of them, 16 at most");
@@ -199,7 +199,7 @@
     const members::Message read = decode_message(encode(m) + std::string("\x78\x01\x32\x01\xff", 5));
     EXPECT_EQ(fields(m.envelope), fields(read.envelope));
     EXPECT_TRUE(read.updates.empty());
-    news::Message news = random.push();
+    eager_push::Message news = random.push();
     news.envelope.version = version;
     EXPECT_TRUE(decode_push(encode(news) + std::string("\x78\x01", 2)).facts.empty());
     Exchange e = random.exchange();
--- a/tests/fleet/sightings_test.cpp
+++ b/tests/fleet/office_observations_test.cpp
@@ -1,6 +1,6 @@
 // The core's observations of offices on their way to the fleet: no outcome is lost or late, a change between
 // up and down is reported at once, and the core's thread and the link's thread do not race.
-#include "fleet/service/sightings.h"
+#include "fleet/service/office_observations.h"
 
 #include <gtest/gtest.h>
 
@@ -71,7 +71,9 @@
     for (int n = 0; n < 2000; ++n) {
       const auto collect = [&](Time at) {
         for (const auto& [id, since] : unreported_since)  // next() is never later than the bound
-          ASSERT_LE(at - since, opens ? sums::kFastReportInterval : sums::kSlowReportInterval) << seed;
+          ASSERT_LE(at - since,
+                    opens ? outcome_counters::kFastReportInterval : outcome_counters::kSlowReportInterval)
+              << seed;
         reader.collect(at);
         unreported_since.clear();
         for (const auto& [id, count] : expected) ASSERT_EQ(counted(reader.sum[id]), count) << seed;
@@ -105,10 +107,11 @@
         continue;
       }
       const bool first_in_interval =
-          !changed_at.contains(id) || now >= changed_at[id] + sums::kFastReportInterval;
+          !changed_at.contains(id) || now >= changed_at[id] + outcome_counters::kFastReportInterval;
       ASSERT_EQ(at_once, first_in_interval) << seed;
       if (at_once) changed_at[id] = now;
-      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + sums::kFastReportInterval) << seed;
+      ASSERT_LE(reader.sightings.next(opens), at_once ? now : now + outcome_counters::kFastReportInterval)
+          << seed;
       if (!at_once) continue;
       reader.collect(now);
       unreported_since.clear();
@@ -154,7 +157,7 @@
 
 // Two threads, as in production, and more offices than there are slots.
 TEST(OfficeObservations, TheCoreCountsWhileTheLinkCollects) {
-  constexpr std::uint32_t kTwice = 2 * sums::kMaxOffices;
+  constexpr std::uint32_t kTwice = 2 * outcome_counters::kMaxOffices;
   Reader reader;
   for (std::uint32_t id = 0; id < kTwice; ++id) reader.sightings.track(office(id));
   std::atomic<bool> finished{false};
@@ -166,7 +169,7 @@
   while (!finished) reader.collect(Time{1h});
   core.join();
   reader.collect(Time{1h});
-  EXPECT_EQ(reader.sum.size(), sums::kMaxOffices);
+  EXPECT_EQ(reader.sum.size(), outcome_counters::kMaxOffices);
   for (const auto& [id, sum] : reader.sum) ASSERT_EQ(counted(sum), (Counted{20, 0, 0}));
 }
 
--- a/tests/fleet/random_messages.h
+++ b/tests/fleet/random_messages.h
@@ -32,8 +32,8 @@
     return m;
   }
 
-  news::Message push() {
-    news::Message n;
+  eager_push::Message push() {
+    eager_push::Message n;
     n.envelope = envelope();
     for (std::size_t size = 1 + below(7); n.facts.size() < size;) {
       facts::Fact f;
--- a/tests/fleet/return_world.h
+++ b/tests/fleet/return_world.h
@@ -13,11 +13,11 @@
 #include <memory>
 #include <unordered_map>
 
-#include "fleet/service/terms.h"
+#include "coordinator_world.h"
+#include "fleet/service/terms_translator.h"
 #include "load/plan/callers.h"
 #include "return_case.h"
 #include "standin/model/processor.h"
-#include "turn_world.h"
 
 namespace reeltack::test {
 
--- a/tests/fleet/same_messages.h
+++ b/tests/fleet/same_messages.h
@@ -48,7 +48,7 @@
   }
 }
 
-inline void expect_equal(const news::Message& a, const news::Message& b) {
+inline void expect_equal(const eager_push::Message& a, const eager_push::Message& b) {
   EXPECT_EQ(fields(a.envelope), fields(b.envelope));
   ASSERT_EQ(a.facts.size(), b.facts.size());
   for (std::size_t i = 0; i < a.facts.size(); ++i) expect_equal(a.facts[i], b.facts[i]);
--- a/tests/fleet/sim_faults_test.cpp
+++ b/tests/fleet/sim_faults_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "turn_world.h"
+#include "coordinator_world.h"
 
 namespace reeltack::test {
 namespace {
--- a/tests/fleet/sim_news_test.cpp
+++ b/tests/fleet/sim_push_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "turn_world.h"
+#include "coordinator_world.h"
 
 namespace reeltack::test {
 namespace {
--- a/tests/fleet/sim_runs.h
+++ b/tests/fleet/sim_runs.h
@@ -5,7 +5,7 @@
 // `cpu` is measured on the real machine, for reports and never for a verdict.
 #pragma once
 
-#include "turn_world.h"
+#include "coordinator_world.h"
 
 namespace reeltack::test {
 
--- a/tests/fleet/kept_stage_test.cpp
+++ b/tests/fleet/stored_stage_test.cpp
@@ -5,7 +5,7 @@
 #include "base/boot_clock.h"
 #include "base/wall_clock.h"
 #include "controller_disk.h"
-#include "fleet/service/keeping.h"
+#include "fleet/service/fleet_storage.h"
 
 namespace reeltack::fleet {
 namespace {
--- a/tests/limits/patience_test.cpp
+++ b/tests/limits/peer_deadlines_test.cpp
@@ -1,5 +1,5 @@
 // Each timeout at its bound, in simulated time: one nanosecond earlier nothing has expired.
-#include "limits/patience.h"
+#include "limits/peer_deadlines.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/membership/releases_test.cpp
+++ b/tests/membership/pending_releases_test.cpp
@@ -1,5 +1,5 @@
 // Which releases are sent again once their connection has ended, in simulated time at the bounds.
-#include "membership/releases.h"
+#include "membership/pending_releases.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/membership/reach_test.cpp
+++ b/tests/membership/reachability_test.cpp
@@ -1,5 +1,5 @@
 // When an office is dialled, probed and considered lost, in simulated time at the bounds.
-#include "membership/reach.h"
+#include "membership/reachability.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/membership/watch_pacing_test.cpp
+++ b/tests/membership/watch_backoff_test.cpp
@@ -1,5 +1,5 @@
 // Timeouts and back-off of a watch on discovery, at their bounds.
-#include "membership/watch_pacing.h"
+#include "membership/watch_backoff.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/door_test.cpp
+++ b/tests/net/connection_listener_test.cpp
@@ -1,5 +1,5 @@
 // Accepting side: handover of a port, and the limits and the end of each connection.
-#include "net/door.h"
+#include "net/connection_listener.h"
 
 #include <gtest/gtest.h>
 #include <sys/socket.h>
--- a/tests/store/keeper_test.cpp
+++ b/tests/store/async_store_test.cpp
@@ -1,5 +1,5 @@
 // AsyncStore: callers never wait for the disk, the latest value wins, and a failing disk ends nothing.
-#include "store/keeper.h"
+#include "store/async_store.h"
 
 #include <atomic>
 #include <thread>
--- a/tests/store/hanging_disk_test.cpp
+++ b/tests/store/hanging_disk_test.cpp
@@ -6,7 +6,7 @@
 
 #include "gate.h"
 #include "heard.h"
-#include "store/call_watch.h"
+#include "store/disk_call_timer.h"
 
 namespace reeltack::store {
 namespace {
--- a/tests/store/heard.h
+++ b/tests/store/heard.h
@@ -8,7 +8,7 @@
 
 #include "faulty_vfs.h"
 #include "script.h"
-#include "store/keeper.h"
+#include "store/async_store.h"
 
 namespace reeltack::store {
 
