--- a/src/fleet/recovery/epochs.h
+++ b/src/fleet/recovery/epochs.h
@@ -12,8 +12,8 @@
 // Limit: a restart is not noticed if the bulletin has sent more events since then than were known of its last
 // run.
 //
-// An epoch is never adopted on a claim alone, or more than kMaxEpochLead above the own one. Not synchronised.
-// Equal inputs give equal outputs; copyable.
+// Within one epoch the number never decreases. An epoch is never adopted on a claim alone, or more than
+// kMaxEpochLead above the own one. Not synchronised. Equal inputs give equal outputs; copyable.
 #pragma once
 
 #include <cstdint>
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -6,7 +6,8 @@
 // without deviations starts the controllers that are due, delivers memberships, lists and all facts, and lets
 // calls arrive. A deviation is one choice that differs from that (model_test.cpp limits their number).
 //
-// Reads no clock and draws nothing at random. check() throws std::logic_error where an invariant is broken.
+// Reads no clock, draws nothing at random and decides nothing that Recovery decides. check() throws
+// std::logic_error where an invariant is broken.
 #pragma once
 
 #include <array>
