--- a/tests/fleet/keeping_hanging_test.cpp
+++ b/tests/fleet/keeping_hanging_test.cpp
@@ -59,7 +59,7 @@
   return false;
 }
 
-TEST(KeepingHanging, AVoteWaitsAndAnIncarnationIsUsedAlthoughNotDurable) {
+TEST(FleetStorageHanging, AVoteWaitsAndAnIncarnationIsUsedAlthoughNotDurable) {
   HangingDisk disk;
   const auto storage = disk.start();
   disk.gate.close();
@@ -84,7 +84,7 @@
 
 // The store has reached its bound on records, so it cannot accept the version, which is a new record; it
 // accepts the vote, whose record exists.
-TEST(KeepingHanging, AVoteIsNotPublishedIfItsVersionCannotBeStored) {
+TEST(FleetStorageHanging, AVoteIsNotPublishedIfItsVersionCannotBeStored) {
   HangingDisk disk;
   store::StoreSettings where = store::settings(disk.settings.store);
   where.owner = "n0";
@@ -104,7 +104,7 @@
   EXPECT_FALSE(storage->take_durable_vote()) << "a vote is published although its version is not stored";
 }
 
-TEST(KeepingHanging, AReadOnlyStoreIsUsedAndWritesResumeWithoutARestart) {
+TEST(FleetStorageHanging, AReadOnlyStoreIsUsedAndWritesResumeWithoutARestart) {
   HangingDisk disk;
   const drift::Version before = version_of(5), next = version_of(6);
   const drift::Vote vote_before{name_of(before), {}}, vote_next{name_of(next), {}};
