--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -120,7 +120,7 @@
   const ServerId id_;
   const Duration dial_limit_;
   net::Loop::Id handler_id_ = 0;
-  std::mutex lock_;  // guards what follows
+  std::mutex lock_;  // guards the members below
   net::Address address_;
   membership::Reachability reach_;
   bool outdated_ = false;  // the connected process is reported as gone, moved or restarted
--- a/src/platform/offices.h
+++ b/src/platform/offices.h
@@ -36,8 +36,8 @@
   std::vector<std::string> class_names_;
   Duration dial_limit_;
   std::mutex lock_;
-  std::map<ServerId, std::shared_ptr<OfficeLink>>
-      links_;  // the link of an office that is gone ends by itself
+  // The link of an office that is gone is removed here and ends by itself.
+  std::map<ServerId, std::shared_ptr<OfficeLink>> links_;
   bool finishing_ = false;
   net::Loop loop_;  // last: its handlers end before the members that they use
 };
--- a/src/platform/sip.h
+++ b/src/platform/sip.h
@@ -22,9 +22,8 @@
  public:
   SipFrontend(core::Core& core, std::vector<std::string> class_names, std::size_t max_connections);
   void open(const net::Address& at) { listener_.open(at); }  // throws std::runtime_error
-  void yield(std::size_t max_connections) {
-    listener_.yield(max_connections);
-  }  // to a successor process, if one listens
+  // Hands new connections over to a successor process, if one listens (net::ConnectionListener::yield).
+  void yield(std::size_t max_connections) { listener_.yield(max_connections); }
   // Shutdown in three steps: closes each connection once no set-up is open on it, except one for further
   // releases; that one too; then also those that keep sending.
   void close_idle_but_one() { listener_.close_idle_but_one(); }
--- a/src/ws/front.h
+++ b/src/ws/front.h
@@ -29,9 +29,8 @@
   };
   Frontend(core::Core& core, core::OfficeList& list, Setup setup);
   void open(const net::Address& at) { listener_.open(at); }  // throws std::runtime_error
-  void yield(std::size_t max_connections) {
-    listener_.yield(max_connections);
-  }  // to a successor process, if one listens
+  // Hands new connections over to a successor process, if one listens (net::ConnectionListener::yield).
+  void yield(std::size_t max_connections) { listener_.yield(max_connections); }
   // Shutdown: closes clients' connections once no set-up is open on them, then those with a partial message
   // as well. Endpoints keep theirs until close_all(), because calls that are not answered yet need them.
   void close_clients();
