--- a/src/fleet/drift/approval.cpp
+++ b/src/fleet/drift/approval.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxContents = 8;
 constexpr std::size_t kMaxVotes = 8192;
 constexpr std::size_t kMaxPartialContents = 16;
-constexpr std::size_t kMaxContentsPerEpoch = 4;  // contents of one epoch; two are a conflict already
+constexpr std::size_t kMaxContentsPerEpoch = 4;  // two are a conflict already
 
 }  // namespace
 
--- a/src/fleet/drift/drift.cpp
+++ b/src/fleet/drift/drift.cpp
@@ -185,7 +185,7 @@
   std::optional<VersionId> to_publish;
   if (held) {
     const VersionId id = id_of(*held);
-    if (own_offer_ == id || ranks_among(id.digest, kCarriers, self_)) to_publish = id;
+    if (own_offer_ == id || ranks_among(id.digest, kContentPublishers, self_)) to_publish = id;
   }
   if (to_publish == published_content_) return;
   published_content_ = to_publish;
--- a/src/fleet/drift/drift.h
+++ b/src/fleet/drift/drift.h
@@ -7,9 +7,9 @@
 //
 // A vote is published once VotePersisted reports that it is durable; without a store it never is, and that
 // member counts towards no majority. A version is rejected completely if it breaks a bound that the platform
-// sets. Its content is published by the member that offered it and by kCarriers of the live members, chosen
-// by rendezvous hashing, so that the offering member may fail. An alarm is logged by kAlarmReporters of them,
-// by the same hash over the subject, and by the subject itself.
+// sets. Its content is published by the member that offered it and by kContentPublishers of the live members,
+// chosen by rendezvous hashing, so that the offering member may fail. An alarm is logged by kAlarmReporters
+// of them, by the same hash over the subject, and by the subject itself.
 //
 // No I/O and no clock; rules are never changed here, and a member's own claim to be in step is not believed.
 // Not thread-safe. Equal inputs give equal outputs; copyable. Input from peers never makes it throw: what
@@ -25,7 +25,7 @@
 
 namespace reeltack::fleet::drift {
 
-inline constexpr std::size_t kCarriers = 3;
+inline constexpr std::size_t kContentPublishers = 3;
 inline constexpr std::size_t kAlarmReporters = 2;
 inline constexpr const char* kVoteRecord = "drift.vote";
 inline constexpr const char* kHeldRecord = "drift.held";
@@ -137,8 +137,8 @@
   MemberRules own_rules_;
   std::map<MemberId, MemberInfo> members_;
   std::map<MemberId, MemberRules> member_rules_;
-  std::map<std::pair<std::string, std::string>, rules::Digest>
-      required_;  // digests required by the approved version, by name and zone
+  // Digests required by the approved version, by name and zone.
+  std::map<std::pair<std::string, std::string>, rules::Digest> required_;
   std::optional<Vote> published_vote_;
   std::optional<VersionId> published_content_;
   std::size_t published_parts_ = 0;
--- a/src/fleet/drift/views.cpp
+++ b/src/fleet/drift/views.cpp
@@ -47,7 +47,8 @@
   if (report_->version == approved && report_->pending) return View::pending;
   const Time from = std::max({since, changed_at_, started_at_});
   const bool older = report_->version.epoch < approved.epoch;
-  if (from != Time::min() && now - from < (older ? settings.spread : settings.grace)) return View::adopting;
+  if (from != Time::min() && now - from < (older ? settings.propagation : settings.grace))
+    return View::adopting;
   return older ? View::behind : View::diverged;
 }
 
--- a/src/fleet/drift/views.h
+++ b/src/fleet/drift/views.h
@@ -30,10 +30,10 @@
 [[nodiscard]] constexpr bool is_deviation(View view) { return view >= View::behind; }
 
 struct ViewSettings {
-  Duration grace = std::chrono::seconds(2);    // after its rules changed, or it started
-  Duration spread = std::chrono::seconds(15);  // after its version changed, which must reach it first
-  Duration confirm = std::chrono::seconds(1);  // a deviation lasts this long before the alarm is raised
-  Duration clear = std::chrono::seconds(5);    // and is gone this long before the alarm is cleared
+  Duration grace = std::chrono::seconds(2);         // after its rules changed, or it started
+  Duration propagation = std::chrono::seconds(15);  // after its version changed, which must reach it first
+  Duration confirm = std::chrono::seconds(1);       // a deviation lasts this long before the alarm is raised
+  Duration clear = std::chrono::seconds(5);         // and is gone this long before the alarm is cleared
   Duration flap_window = std::chrono::seconds(20);
   std::size_t flaps = 4;  // changes of its rules within the window
 };
--- a/src/fleet/facts/exchange.cpp
+++ b/src/fleet/facts/exchange.cpp
@@ -71,7 +71,7 @@
   const Owner* owner;
   SendPlan plan;
   MemberId id;
-  SendPriority weight;
+  SendPriority priority;
   bool included = false;
 };
 
@@ -94,7 +94,7 @@
     order.reserve(missing.size());
     for (Missing& item : missing) order.push_back(&item);
     std::stable_sort(order.begin(), order.end(),
-                     [](const Missing* a, const Missing* b) { return a->weight < b->weight; });
+                     [](const Missing* a, const Missing* b) { return a->priority < b->priority; });
     const std::size_t until = bytes_ + (max_bytes_ - std::min(bytes_, max_bytes_)) / 2;
     for (Missing* item : order) {
       if (bytes_ >= until) return;
--- a/src/fleet/facts/owner.cpp
+++ b/src/fleet/facts/owner.cpp
@@ -162,16 +162,16 @@
   }
   const Version before = highest_;
   std::vector<Fact> updated;
-  bool all_taken = true;
+  bool all_stored = true;
   for (const Fact& fact : part.facts) {
     if (fact.version <= highest_) {
       ++counts.outdated;
       continue;
     }
-    all_taken = all_taken && store(now, fact, settings, updated);
-    ++(all_taken ? counts.accepted : counts.over_bound);
+    all_stored = all_stored && store(now, fact, settings, updated);
+    ++(all_stored ? counts.accepted : counts.over_bound);
   }
-  if (!part.more && all_taken) {
+  if (!part.more && all_stored) {
     highest_ = std::max(highest_, std::max(part.floor, floor_));
     drop_unconfirmed(now, highest_, updated);
   }
--- a/src/fleet/members/bounds.cpp
+++ b/src/fleet/members/bounds.cpp
@@ -6,10 +6,10 @@
 namespace reeltack::fleet::members {
 namespace {
 
-constexpr std::size_t kHeaderBytes =
-    80;  // envelope 44, kind, sequence, target and its address, length prefixes
-constexpr std::size_t kUpdateBytes =
-    56;  // ids 16, incarnation 10, health, address 6, tags and length prefixes
+// envelope 44, kind, sequence, target and its address, length prefixes
+constexpr std::size_t kHeaderBytes = 80;
+// ids 16, incarnation 10, health, address 6, tags and length prefixes
+constexpr std::size_t kUpdateBytes = 56;
 
 bool valid_incarnation(Incarnation incarnation) { return incarnation >= 1 && incarnation < kMaxIncarnation; }
 bool valid_endpoint(const Endpoint& at) { return at.port != 0 && at.address != 0; }
--- a/src/fleet/members/messages.cpp
+++ b/src/fleet/members/messages.cpp
@@ -67,8 +67,8 @@
     member.last_received = now;
     member.epoch = message.envelope.epoch;
   }
-  if (sender == nullptr &&
-      known == table.end()) {  // no address to answer; an ack or nack may count all the same
+  if (sender == nullptr && known == table.end()) {
+    // There is no address to answer, but an ack or nack may still count.
     if (message.kind == Kind::ack || message.kind == Kind::nack) on_answer(message, actions);
     return;
   }
--- a/src/fleet/members/spread.h
+++ b/src/fleet/members/spread.h
@@ -34,8 +34,8 @@
   [[nodiscard]] bool consistent() const { return order_.size() == entries_.size(); }
 
  private:
-  using Entry =
-      std::tuple<std::size_t, std::uint64_t, MemberId>;  // transmissions, age (newest lowest), member
+  // Transmissions, age (newest lowest), member.
+  using Entry = std::tuple<std::size_t, std::uint64_t, MemberId>;
   void record_sent(MemberId member, std::size_t max_transmissions);
 
   std::set<Entry> order_;
--- a/src/fleet/members/state.h
+++ b/src/fleet/members/state.h
@@ -104,8 +104,7 @@
   Time join_at{};
   Time exchange_at{};
   Duration exchange_interval{};
-  bool table_incomplete =
-      false;  // a table named a new member: the next exchange requests a table in any case
+  bool table_incomplete = false;  // a table named a new member: the next exchange must request one
   std::optional<Time> joined_at;
   std::optional<Time> duplicate_reported_at;
   Incarnation persisted;                // the highest that may be used
--- a/tests/fleet/members_time_test.cpp
+++ b/tests/fleet/members_time_test.cpp
@@ -97,8 +97,8 @@
   for (const bool buddy : {true, false}) {
     MembersSettings settings;
     settings.buddy = buddy;
-    settings.retransmit_multiplier =
-        0.1;  // each update is sent once: it has left the queue when the suspect is probed
+    // Each update is sent once: it has left the queue when the suspect is probed.
+    settings.retransmit_multiplier = 0.1;
     SingleMember node(settings);
     node.receive(1, {update_of(2, 1, Health::alive)});
     node.receive(1, {update_of(2, 1, Health::suspect, 1)});
