--- a/src/base/base.h
+++ b/src/base/base.h
@@ -1,4 +1,5 @@
-// What every room may use and no socket is: the clock, threads with small stacks, names and numbers as text.
+// What every module may use and no socket is: the clock, threads with small stacks, names and numbers as
+// text.
 //
 // Owns: the only reading of the steady clock for a Time, threads (RAII), and the spelling of ids, addresses
 // and figures. Must never: open a descriptor other than the log's, know a message, or decide anything.
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -1,6 +1,6 @@
 // An object of the configuration and where it stands, so that every message can name the key.
 //
-// Owns: the checks of one value of the JSON, for the readers of this room only.
+// Owns: the checks of one value of the JSON, for the readers of this module only.
 // Must never: keep the JSON alive; the reader holds it for as long as a section is used.
 // Errors: ConfigError, with the path of the key.
 #pragma once
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -4,7 +4,7 @@
 // attempt is cancelled, its office is notified before the decision module.
 // Wire formats, sockets and JSON belong to the frontends and backends. The core never blocks on a peer.
 // Thread safety: public functions may be called from any thread unless noted; only the core's thread accesses
-// the call table. One source file per stage of a request: take_in, admit, route, send, relay and book.
+// the call table. One source file per stage of a request: inbox, admit, route, send, relay and call_table.
 #pragma once
 
 #include <atomic>
--- a/src/dns/updates.cpp
+++ b/src/dns/updates.cpp
@@ -58,8 +58,8 @@
   const std::uint32_t opcode = flags >> 11U & 15U;
   int code = kNotImp;
   if ((flags & 0x8000U) != 0) {
-    code = kFormErr;  // a response, not a request
-  } else if (opcode == 5) {
+    code = kFormErr;         // a response, not a request
+  } else if (opcode == 5) {  // UPDATE
     const std::lock_guard hold(lock_);
     Zone next = zone_;
     bool changed = false;
@@ -82,12 +82,12 @@
 // Requires the lock. An endpoint that left the zone is listed as draining, never just omitted.
 void UpdateServer::publish() {
   std::vector<std::string> missing;
-  std::vector<core::OfficeEntry> now = zone_.offices(service_, &missing);
+  std::vector<core::OfficeEntry> current = zone_.offices(service_, &missing);
   for (const std::string& target : missing)
     net::log_line("zone: " + target + " has no address and is left out");
-  std::vector<core::OfficeEntry> changes = now;
+  std::vector<core::OfficeEntry> changes = current;
   for (auto& [id, entry] : published_) {
-    const bool found = std::any_of(now.begin(), now.end(),
+    const bool found = std::any_of(current.begin(), current.end(),
                                    [id = id](const core::OfficeEntry& o) { return o.entry.server == id; });
     if (found) continue;
     entry.entry.state = ServerState::draining;
--- a/src/fleet/link/connections.cpp
+++ b/src/fleet/link/connections.cpp
@@ -51,11 +51,11 @@
     accepted += entry.accepted ? 1 : 0;
     from_address += entry.accepted && entry.from == from ? 1 : 0;
   }
-  const LinkSettings& s = context_.settings;
-  if (entries_.size() >= s.max_connections || accepted >= s.max_accepted ||
-      from_address >= s.max_accepted_per_address) {
+  const LinkSettings& settings = context_.settings;
+  if (entries_.size() >= settings.max_connections || accepted >= settings.max_accepted ||
+      from_address >= settings.max_accepted_per_address) {
     count(context_.counters.refused);
-    return;  // closed as it goes out of scope
+    return;  // the socket is closed as it goes out of scope
   }
   count(context_.counters.accepted);
   count(context_.counters.connections);
@@ -118,7 +118,7 @@
 void Connections::close() {
   asio::error_code ignored;
   acceptor_.close(ignored);
-  const auto entries = entries_;
+  const auto entries = entries_;  // a copy: end() may remove entries
   for (const auto& [id, entry] : entries) entry.connection->end(false);
 }
 
--- a/src/fleet/service/fleet_storage.h
+++ b/src/fleet/service/fleet_storage.h
@@ -11,10 +11,9 @@
 // gives it; a time in the future or a record of another owner's disk gives none.
 //
 // Threads: the constructor and flush() are called by the program's main thread, before and after the link's
-// thread runs; everything else by the link's.
+// thread runs; everything else by the link's thread.
 //
-// Errors: the constructor throws std::runtime_error if another
-// process holds the store.
+// Errors: the constructor throws std::runtime_error if another process holds the store.
 #pragma once
 
 #include <functional>
@@ -37,14 +36,14 @@
   using LogEvent = std::function<void(const std::string& event, const std::string& text)>;
   FleetStorage(const config::Controllers& settings, const std::string& owner, LogEvent log_event);
 
-  // Of this run; the constructor has passed it to the store.
+  // The incarnation of this run; the constructor has passed it to the store.
   [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
   [[nodiscard]] const std::optional<recovery::PersistedState>& persisted_state() const {
     return persisted_state_;
   }
   [[nodiscard]] const std::vector<members::Update>& known_members() const { return known_members_; }
-  // Empty if the disk was copied from another controller, which holds that controller's vote; its approved
-  // version counts.
+  // Without a vote if the disk was copied from another controller of the fleet, because the vote on it is
+  // that controller's; the approved version on it counts.
   [[nodiscard]] const drift::RecordsRestored& rules() const { return rules_; }
 
   void put(const Store& what);
--- a/src/fleet/service/service.cpp
+++ b/src/fleet/service/service.cpp
@@ -72,8 +72,8 @@
     stats_.take(now, coordinator_);
   }
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions) override {
-    if (const auto* core = std::get_if<CoreEvent>(&event))
-      if (const auto* list = std::get_if<recovery::ListReceived>(&core->event))
+    if (const auto* core_event = std::get_if<CoreEvent>(&event))
+      if (const auto* list = std::get_if<recovery::ListReceived>(&core_event->event))
         for (const recovery::Evidence& e : list->offices) observations_.track(e.office);
     coordinator_.on(now, event, actions);
   }
@@ -106,13 +106,14 @@
     list.live = live;
     list.number = list_number_;
     list.restarts = list_restarts_;
-    for (const core::OfficeEntry& o : offices) {
-      const recovery::Office office = office_of(o);
-      const recovery::OfficeState state = o.entry.state == ServerState::ready ? recovery::OfficeState::ready
-                                          : o.entry.state == ServerState::draining
-                                              ? recovery::OfficeState::draining
-                                              : recovery::OfficeState::gone;
-      // An entry from the configuration is not a live source: it counts as stored evidence of unknown age.
+    for (const core::OfficeEntry& office_entry : offices) {
+      const recovery::Office office = office_of(office_entry);
+      const recovery::OfficeState state =
+          office_entry.entry.state == ServerState::ready      ? recovery::OfficeState::ready
+          : office_entry.entry.state == ServerState::draining ? recovery::OfficeState::draining
+                                                              : recovery::OfficeState::gone;
+      // An entry of the configuration does not come from a live source: it counts as stored evidence of
+      // unknown age.
       list.offices.push_back({office, live ? recovery::Rank::listed : recovery::Rank::stored, state, self_,
                               live ? std::optional<Duration>(Duration{}) : std::nullopt});
     }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -43,8 +43,8 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
   void start();  // throws std::runtime_error if no thread can be created; call once
-  // Returns after the event being handled. All handlers are released, and later wakes have no effect. Must
-  // not be called from a handler.
+  // Returns once the event being handled is finished. All handlers are released, and later wakes have no
+  // effect. Must not be called from a handler.
   void stop();
 
   Id add(std::shared_ptr<EventHandler> handler);  // held until remove() or stop(); woken once
@@ -103,8 +103,8 @@
   std::unordered_map<Id, Entry> entries_;
   std::vector<Interest> interests_;  // by descriptor
   Timers timers_;
-  std::vector<Id> deferred_;  // whose watch() failed for want of kernel memory
-  Time deferred_retry_at_{};  // when these get an event
+  std::vector<Id> deferred_;  // handlers whose watch() failed for want of kernel memory
+  Time deferred_retry_at_{};  // when the deferred handlers get an event
   Thread thread_;
 };
 
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -42,7 +42,8 @@
   void established(CallId call);
   void closed(CallId call);
 
-  // How it ended: by its far end, by our own orderly end, or at a limit.
+  // How it ended: by its far end, by our own orderly end, at a limit (timeout, unread), or by evict() or
+  // cut().
   enum class EndReason { peer, local, timeout, unread, evicted, dropped };
   [[nodiscard]] EndReason end_reason() const { return end_reason_; }  // valid once over()
 
@@ -137,7 +138,7 @@
   mutable std::mutex lock_;
   std::set<CallId> open_;
   std::set<CallId> established_;
-  std::set<CallId> unwritten_;  // of these, calls whose answer is not completely written
+  std::set<CallId> unwritten_;  // of established_, the calls whose answer is not completely written
   std::atomic<Duration::rep> last_received_{connected_.time_since_epoch().count()};
   std::atomic<bool> evicting_{false};
   std::atomic<bool> answering_{false};  // set before open_ is read, so that the last answer wakes the loop
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -79,7 +79,7 @@
   }
   // When a second connection is dialled because the first is quiet.
   [[nodiscard]] Time quiet_check_at() const { return std::max(reach_.probe_at(), shortage_until_); }
-  // The same, or because releases may have been lost.
+  // When one is dialled for that reason, or because releases may have been lost.
   [[nodiscard]] Time second_dial_at() const {
     return finishing_ ? net::kNever : std::min(quiet_check_at(), std::max(collect_at(), shortage_until_));
   }
@@ -130,9 +130,9 @@
   std::map<CallId, Open> open_;
   std::vector<std::pair<CallId, std::string>> pending_releases_;  // releases for the next connection
   std::shared_ptr<Line> line_;
-  membership::PendingReleases releases_;  // sent on the line
+  membership::PendingReleases releases_;  // those sent on line_
   std::vector<Leaving> leaving_;
-  net::Buffer buffer_;  // input of the line
+  net::Buffer buffer_;  // input of line_
   net::Fd dialling_;
   net::Address dialled_;
   net::Fd second_;           // second connection, beside a quiet one
--- a/src/store/async_store.h
+++ b/src/store/async_store.h
@@ -54,7 +54,7 @@
   std::uint64_t put(const std::string& key, std::string value);
   std::uint64_t erase(const std::string& key);
   // Registers a value that the store holds from an earlier run of the process, so that it is written
-  // again if the store is lost during this one.
+  // again if the store is lost during this run.
   void remember(const std::string& key, std::string value);
   [[nodiscard]] std::uint64_t durable_up_to() const;
   // Whether this change is durable, even if an earlier change of another key is not.
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -76,7 +76,7 @@
   bool created = false;
   WriteResult result;
   const std::uint64_t size = folder.size("store.db");
-  // SQLite would treat both cases as a new file and overwrite what is there.
+  // SQLite would treat the file as new in the first two cases and overwrite what is there.
   if (size == 0 && folder.size("store.db-wal") > 0) {
     result = impl->fail(ErrorCode::damaged, "is empty or gone, but its log is not");
   } else if (size > 0 && size < kPageBytes && folder.size("store.db-journal") == 0) {
@@ -100,7 +100,7 @@
   }
   // Directory entries must be as durable as the content, so they are synced at each opening: if the
   // journal of the creation reappeared after a power loss, it would roll the file back to nothing. The
-  // previous process may have died before it got here.
+  // previous process may have died before it synced them.
   std::string unsynced;
   if (result.ok() && !folder.sync(unsynced)) result = {ErrorCode::io, unsynced};
   if (!result.ok()) {
@@ -109,8 +109,8 @@
     out.records.clear();
     return out;
   }
-  for (const StoredRecord& k : out.records)
-    out.foreign += k.fleet != settings.fleet || k.owner != settings.owner ? 1 : 0;
+  for (const StoredRecord& record : out.records)
+    out.foreign += record.fleet != settings.fleet || record.owner != settings.owner ? 1 : 0;
   out.store.reset(new Store(std::move(impl)));
   return out;
 }
@@ -126,17 +126,17 @@
                          const clocks::BootTime& written_since_boot) {
   Impl& impl = *impl_;
   if (impl.damaged) return impl.fail(ErrorCode::damaged, "was found damaged; open it anew");
-  std::map<std::string_view, const Change*> last;
+  std::map<std::string_view, const Change*> last_changes;
   for (const Change& c : changes) {
     if (c.key.empty() || c.key.size() > kMaxKeyBytes || (c.value && c.value->size() > kMaxValueBytes)) {
       return impl.fail(ErrorCode::too_big,
                        "key '" + c.key.substr(0, kMaxKeyBytes) + "': 1 to " + std::to_string(kMaxKeyBytes) +
                            " bytes and a value of at most " + std::to_string(kMaxValueBytes));
     }
-    last[c.key] = &c;
+    last_changes[c.key] = &c;
   }
   WriteResult result = impl.limit_log_size();
-  if (result.ok()) result = impl.apply(last, {written_at, written_since_boot});
+  if (result.ok()) result = impl.apply(last_changes, {written_at, written_since_boot});
   if (result.ok()) result = impl.verify_files();
   if (result.code == ErrorCode::damaged) {
     impl.damaged = true;
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -94,9 +94,9 @@
   opened_before_ = true;
   std::unique_lock lock(mutex_);
   queue_.restore(opened.records, store_settings_.fleet, store_settings_.owner);
-  const bool event_to_report = opened.how != OpenResult::How::opened || !opening_reported_;
+  const bool report_opening = opened.how != OpenResult::How::opened || !opening_reported_;
   opening_reported_ = true;
-  if (!event_to_report) return;
+  if (!report_opening) return;
   AsyncStoreEvent event = this->event(AsyncStoreEvent::Kind::opened);
   lock.unlock();
   event.how = opened.how;
@@ -134,9 +134,9 @@
   } else {
     if (!parts.fits.empty()) ++counts_.batches;
     counts_.written += parts.fits.size();
-    const bool all = parts.deferred.empty();
+    const bool all_written = parts.deferred.empty();
     queue_.finish_batch(std::move(parts.deferred));
-    event_to_report = all ? recovered() : failed(ErrorCode::full, over_bound());
+    event_to_report = all_written ? recovered() : failed(ErrorCode::full, over_bound());
   }
   lock.unlock();
   done_.notify_all();
@@ -187,7 +187,7 @@
   stopping_ = true;
   work_.notify_all();
   if (ended_.wait_for(lock, settings_.shutdown_timeout, [this] { return run_ended_; })) return true;
-  // Between two calls the writing thread will soon be in the next one, or finished.
+  // abandon() fails between two calls; the writing thread will soon be in the next one, or finished.
   while (!run_ended_) {
     lock.unlock();
     if (calls_.abandon()) return false;
--- a/src/ws/endpoints.cpp
+++ b/src/ws/endpoints.cpp
@@ -69,7 +69,7 @@
       {id, call, static_cast<int>(*cause), text_field(message, "note"), load_report(message)});
 }
 
-// Makes the last check as the set-up leaves the queue, since drains count from its first byte.
+// Makes the last check as the set-up leaves the queue: a drain still prevents one of which no byte is sent.
 bool Frontend::may_leave(const core::SetUp& set_up, std::int64_t sent_ms, std::string& message) {
   {
     const std::lock_guard hold(lock_);
@@ -82,8 +82,8 @@
         left_ms > 0) {
       if (left_ms < sent_ms) message = text_frame(set_up_message(set_up, left_ms));
       found->second.left = true;
-      endpoint.releases.acknowledge(
-          set_up.call);  // release of an earlier attempt; repeated, it would end this one
+      // The release of an earlier attempt must not be repeated: it would end this one.
+      endpoint.releases.acknowledge(set_up.call);
       core_.attempt_transmitted();
       return true;
     }
@@ -127,7 +127,8 @@
   if (!left || !connection) return;  // a queued set-up is dropped by may_leave()
   // Recorded for resending: if lost with the connection, the endpoint would hold a call without a caller.
   endpoint.releases.add(call, release_message(call), net::now());
-  // An endpoint that does not read would receive this too late: closing gives up its open set-ups at once.
+  // An endpoint that does not read would receive this too late: cutting the connection gives up its open
+  // set-ups at once.
   if (connection->blocked()) return connection->cut();
   connection->send(R"({"type":"give-up","call":")" + id_text(call) + "\"}");
 }
@@ -137,7 +138,8 @@
   send_release(endpoints_[office], call, release_message(call));
 }
 
-// Sends on the connection, or queues for the next; held until the endpoint must have read it.
+// Sends the release, or queues it for the next connection; once sent, it is held until the endpoint must have
+// read it.
 void Frontend::send_release(Endpoint& endpoint, CallId call, std::string message) {
   const ConnectionPtr connection = endpoint.connection.lock();
   if (!connection || !connection->accepts_output() || !connection->send(message)) {
