--- a/src/fleet/coordinator/coordinator.h
+++ b/src/fleet/coordinator/coordinator.h
@@ -28,13 +28,13 @@
 
 namespace reeltack::fleet {
 
-// Of an exchange and its TCP connection: even if dialled here, odd if accepted (then numbered by the link).
+// Of an exchange and its TCP connection: even if dialled here, odd if accepted (the link numbers those).
 enum class ConnectionId : std::uint64_t {};
 inline constexpr const char* kIncarnationKey = "incarnation";  // in the store; a number as text
 inline constexpr const char* kMembersKey = "members";          // in the store; see format_members()
 
 // One message of an exchange, in either direction. The initiator sends a summary; the answer is a digest of
-// the buckets that differ, with the sender's own lines in them; then delta and own digest; then delta. Each
+// the buckets that differ, with the sender's own entries in them; then delta and own digest; then delta. Each
 // step fills the fields named for it, the others are empty.
 struct Exchange {
   Envelope envelope;
@@ -60,11 +60,11 @@
   gossip_schedule::GossipScheduleSettings gossip;
   drift::DriftSettings drift;
   Duration exchange_timeout = std::chrono::seconds(2);  // an exchange that takes longer is closed
-  std::size_t max_inbound_exchanges = 8;                // running at a time
+  std::size_t max_inbound_exchanges = 8;                // accepted ones that run at a time
   Duration rate_window = std::chrono::seconds(1);
   std::size_t max_messages_per_window = 200;  // of one member; further ones are ignored
   std::size_t max_tracked_senders = 1024;     // that are not members; further ones share one count
-  // Above so many bytes of facts none are accepted of owners that are not members.
+  // With more bytes of facts held than this, none are accepted whose owner is not a member.
   std::size_t max_bytes_with_non_members = std::size_t{1024} * 1024;
 };
 
@@ -154,7 +154,7 @@
   Coordinator(const CoordinatorSettings& settings, const members::Self& self, std::span<const Endpoint> seeds,
               std::uint64_t seed);
 
-  // Starts with what the store held, if anything; the link is up (not called if the fleet cannot be reached).
+  // Starts from what the store held, if anything, once the link is up; not called if there is no link.
   void begin(Time now, std::optional<recovery::PersistedState> stored,
              std::span<const members::Update> remembered, CoordinatorActions& actions);
   void on(Time now, const CoordinatorEvent& event, CoordinatorActions& actions);
@@ -180,7 +180,7 @@
     std::uint32_t step = 0;  // of the last message sent
     Time deadline{};
     std::size_t bytes = 0, useful = 0;  // both directions; of these, facts
-    bool truncated = false;             // a delta was full
+    bool truncated = false;             // a delta could not carry everything
   };
   struct MessageRate {
     Time since{};
--- a/src/fleet/drift/fleet_views.cpp
+++ b/src/fleet/drift/fleet_views.cpp
@@ -1,4 +1,5 @@
-// How all members stand to the approved version: views, alarms, which members log them, and the counts.
+// How the rules of all members compare with the approved version: views, alarms, which members log them, and
+// the counts.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -43,6 +44,7 @@
 void Drift::update_views(Time now, Actions& actions) {
   next_ = now + kViewInterval;
   if (approval_.approved()) {
+    // Computed once for each name and zone, then read by view().
     required_.try_emplace({settings_.name, settings_.zone}, required_digest(settings_.name, settings_.zone));
     for (const auto& [id, member] : members_)
       required_.try_emplace({member.name, member.zone}, required_digest(member.name, member.zone));
--- a/src/fleet/facts/owner_send.cpp
+++ b/src/fleet/facts/owner_send.cpp
@@ -52,6 +52,7 @@
   std::size_t bytes = encoded_head(part);
   for (auto at = order_.upper_bound(plan.after); at != order_.end(); ++at) {
     const Entry& entry = facts_.at(at->second);
+    // Needs no tombstone: facts at or below the floor exist for the receiver only if they are sent.
     if (entry.deleted && entry.version <= plan.floor) continue;
     Fact next = fact(now, at->second, entry);
     bytes += encoded(next);
--- a/src/fleet/gossip_schedule/gossip_schedule.cpp
+++ b/src/fleet/gossip_schedule/gossip_schedule.cpp
@@ -9,7 +9,7 @@
 namespace reeltack::fleet::gossip_schedule {
 namespace {
 
-constexpr std::size_t kUnproductiveRatio = 8;  // an eighth of the bytes
+constexpr std::size_t kUnproductiveRatio = 8;  // unproductive: under an eighth of the bytes are useful
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 Duration duration(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
@@ -20,6 +20,7 @@
 GossipSchedule::GossipSchedule(const GossipScheduleSettings& settings, std::uint64_t seed)
     : settings_(settings), draws_(seed ^ 0x70616365ULL), balance_(static_cast<double>(settings.burst)) {}
 
+// A jitter of 0 makes the first exchange due at once.
 void GossipSchedule::begin(Time now) { begun_ = last_begun_ = balance_at_ = now, jitter_ = 0.0; }
 
 void GossipSchedule::set_peers(std::span<const Peer> live) {
@@ -57,9 +58,9 @@
 }
 
 void GossipSchedule::exchange_ended(Time now, const ExchangeResult& result) {
-  if (const auto with = peers_.find(result.with); with != peers_.end()) {
-    if (result.completed) with->second.last_exchange = now;
-    with->second.truncated = result.completed && result.truncated;
+  if (const auto peer = peers_.find(result.with); peer != peers_.end()) {
+    if (result.completed) peer->second.last_exchange = now;
+    peer->second.truncated = result.completed && result.truncated;
   }
   if (result.completed) truncated_ = result.truncated;
   if (!result.initiated_here) return;
@@ -91,6 +92,7 @@
   return std::min(paid, last_begun_ + limit);
 }
 
+// At most 10 doublings, so that the shift cannot overflow.
 Duration GossipSchedule::backed_off(Duration from, Duration to) const {
   return std::min(from * (Duration::rep{1} << std::min<std::size_t>(unproductive_, 10)), std::max(from, to));
 }
--- a/src/fleet/recovery/publishing.cpp
+++ b/src/fleet/recovery/publishing.cpp
@@ -15,8 +15,9 @@
 using namespace std::chrono_literals;
 constexpr std::size_t kReportersPerOffice = 3;  // members that renew the evidence about an office
 constexpr Duration kMinChangeInterval = 500ms;  // between publications of a flapping fact
-constexpr Duration kNewListWindow = 1s;         // after a list was received
-// The signature of an office's fact, by which changes are detected: listed state, observed state, instance.
+constexpr Duration kNewListWindow = 1s;  // after a list was received: its new instances are published at once
+// The signature of an office's fact, by which changes are detected: listed state (3 bits), observed state
+// (3 bits), hash of the instance (24 bits).
 constexpr int kListedSignatureMask = 7;
 constexpr int signature_of(OfficeState state) { return 1 + static_cast<int>(state); }  // 0: none
 // Rounds to steps of about an eighth (a sixth of an octave), so that small changes are not published.
@@ -70,8 +71,8 @@
 }
 
 void Recovery::publish_offices(Time now, Actions& actions) {
-  const bool others = recovering_ || summary(now).returning;
-  const std::tuple inputs{stage_, recovering_, others, list_is_live_, complete_list_received_};
+  const bool returning = recovering_ || summary(now).returning;
+  const std::tuple inputs{stage_, recovering_, returning, list_is_live_, complete_list_received_};
   const bool new_list = !changed_instances_.empty() && now - list_received_at_ < kNewListWindow;
   if (now < offices_due_at_ && inputs == published_inputs_ && !new_list) return;
   published_inputs_ = inputs;
@@ -79,15 +80,15 @@
   for (const OfficeAssessment& assessment : assessments_) {
     const std::optional<OfficeValue> value = office_value(now, assessment);
     if (!value) continue;
-    const Due due = office_due(now, assessment, *value, others, is_reporter(assessment.office.id));
+    const Due due = office_due(now, assessment, *value, returning, is_reporter(assessment.office.id));
     const facts::Key key{facts::Kind::office, static_cast<std::uint64_t>(assessment.office.id)};
     if (due.now) publish_fact(now, key, write(*value), due.signature, actions);
     offices_due_at_ = std::min(offices_due_at_, due.next);
   }
 }
 
-// Chosen among the members that never lost power, if this is one of them. Recomputed when the membership
-// changes and every second.
+// Whether this member reports on the office: the reporters are chosen by hash among the members that never
+// lost power, and again among those with a live list. Cached; see update_agreed_size() and enter_stage().
 bool Recovery::is_reporter(ServerId id) {
   const auto cached = reporter_cache_.find(id);
   if (cached != reporter_cache_.end()) return cached->second;
@@ -99,13 +100,13 @@
     const auto peer = peers_.find(m);
     return !settled || m == self_ || (peer != peers_.end() && peer->second.survivor);
   };
-  const auto listed = [&](MemberId m) {
+  const auto has_live_list = [&](MemberId m) {  // or nothing is known of it
     const auto peer = peers_.find(m);
     return m == self_ || peer == peers_.end() || peer->second.list.live || !peer->second.stage;
   };
-  // Also among the members with a live list.
-  return reporter_cache_[id] = among_first(self_, id, live_, kReportersPerOffice, survived) ||
-                               (list_is_live_ && among_first(self_, id, live_, kReportersPerOffice, listed));
+  return reporter_cache_[id] =
+             among_first(self_, id, live_, kReportersPerOffice, survived) ||
+             (list_is_live_ && among_first(self_, id, live_, kReportersPerOffice, has_live_list));
 }
 
 // Whether the last published fact lists the office as ready or absent. Such a fact is read as part of
@@ -139,10 +140,10 @@
 }
 
 // A few members report on each office, chosen among those that never lost power if there are any. Besides
-// these a member reports if it has observed what contradicts the verdict, has it listed as ended, or has just
-// tried it.
+// these a member reports if its observation contradicts the verdict, its list has changed for the office or
+// holds it as ended, or it has just tried the office.
 Recovery::Due Recovery::office_due(Time now, const OfficeAssessment& assessment, const OfficeValue& value,
-                                   bool others, bool reporter) const {
+                                   bool returning, bool reporter) const {
   const ServerId id = assessment.office.id;
   const bool ended = value.listed && is_ended(value.listed->state);
   const bool contrary =
@@ -162,8 +163,8 @@
   const bool listed_changed =
       moved || (previous != published_.end() &&
                 (previous->second.signature & kListedSignatureMask) != listed_signature);
-  // So many members have published the same for this instance that one more adds nothing. A member that has
-  // published otherwise still corrects that.
+  // kReportersPerOffice live members have published the same for this instance: one more adds nothing. A
+  // member that has itself published something else for it still corrects that.
   const auto published_by_enough = [&] {
     std::size_t reporters = 0;
     for (const auto& [member, peer] : peers_) {
@@ -180,15 +181,15 @@
   // An instance that no other member has reported since the list was received.
   const bool new_instance = value.listed && now - list_received_at_ < kNewListWindow && changed &&
                             changed_instances_.contains(id) &&
-                            std::none_of(peers_.begin(), peers_.end(), [&](const auto& at) {
-                              const auto office = at.second.offices.find(id);
-                              return office != at.second.offices.end() && office->second.value.listed &&
+                            std::none_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+                              const auto office = peer.second.offices.find(id);
+                              return office != peer.second.offices.end() && office->second.value.listed &&
                                      office->second.value.office.start >= value.office.start &&
                                      office->second.value.office.at == value.office.at;
                             });
   const auto members = static_cast<std::int64_t>(live_.size());
-  const Duration renewal = others ? std::max<Duration>(2s, members * Duration(50ms))
-                                  : std::max<Duration>(40s, members * Duration(200ms));
+  const Duration renewal = returning ? std::max<Duration>(2s, members * Duration(50ms))
+                                     : std::max<Duration>(40s, members * Duration(200ms));
   due.now = changed ? (elapsed >= kMinChangeInterval || listed_changed || ended || new_instance) &&
                           (reporter || ended || contrary || listed_changed || new_instance ||
                            (tried && (previous != published_.end() || !published_by_enough())))
--- a/src/fleet/recovery/recovery.h
+++ b/src/fleet/recovery/recovery.h
@@ -5,7 +5,7 @@
 // dark       the process has started             the store was read, or there is none     set by the driver
 // restored   the store was read                  the link is up, or there is no fleet     max_asking
 // asking     members are asked                   a quorum of the agreed size has replied  max_asking
-// probation  it was a loss                       `enough` of the list is trusted          max_probation
+// probation  it was a loss                       `enough` of listed capacity is trusted   max_probation
 // partial    enough is trusted, or first start   every class is open                      max_partial
 // full       every class is open, or an ordinary restart
 //
@@ -22,15 +22,15 @@
 // restarted within loss_window). The recovery ends kRecoverySettleTime after it became full.
 // A minority continues with what it has, takes shares by the larger size, and agrees on no size.
 //
-// In full service without a recovery, observations bar no office: the module judges them as it does without a
-// fleet. Opening (opening.h): from the first evidence on it reaches what the trusted offices can carry, a
-// cold office counted by its allowance: with `enough` of the list every class is open, and a class is closed
-// only on evidence of too little capacity. By growth, in probation, it goes no further than the trusted part
-// of the list. The most urgent class stays open while any office may be used, or none is known.
+// In full service without a recovery, observations bar no office: the decision module judges them as without
+// a fleet. Opening (opening.h), 0 to 1: from the first evidence on it reaches what the trusted offices can
+// carry, a cold office counted by its allowance: with `enough` trusted every class is open, and a class is
+// closed only on evidence of too little capacity. By growth, in probation, it goes no further than the
+// trusted part of the list. The most urgent class stays open while any office may be used, or none is known.
 //
-// Recovery does no I/O, reads no clock, delays no answer and sends no calls: the module acts on the terms.
-// Not synchronised. Equal inputs give equal outputs; copyable. Nothing a peer sends makes it throw: what
-// cannot be read is counted.
+// Recovery does no I/O, reads no clock, delays no answer and sends no calls: the decision module acts on its
+// terms. Not synchronised. Equal inputs give equal outputs; copyable. Nothing a peer sends makes it throw:
+// what cannot be read is counted.
 #pragma once
 
 #include <set>
@@ -95,11 +95,11 @@
     OfficeState state{};
     Time at{};
   };
-  struct Peak {
+  struct Peak {  // highest rate that a warm office carried for all members; decays
     double per_second = 0.0;
     Time at{};
   };
-  struct Emitted {
+  struct Emitted {  // a fact or record as last published or written; `signature` detects changes
     std::string value;
     Time at{};
     int signature = 0;
@@ -145,7 +145,7 @@
   void handle(Time now, const OfficeLoad& load);
   void handle(Time now, const CarriedRate& carried);
   void handle(Time now, const ExchangeStarted& started);
-  // peers.cpp
+  // peers.cpp (add_listed_evidence: recovery.cpp)
   bool apply_stage(Time now, Peer& peer, const Fact& fact);
   bool apply_list(Time now, MemberId member, Peer& peer, const Fact& fact);
   bool apply_office(Time now, MemberId member, Peer& peer, const Fact& fact);
@@ -164,7 +164,7 @@
   [[nodiscard]] Duration stage_renewal() const;
   void update_agreed_size(Time now);
   void update_peak_rates(Time now);
-  // stages.cpp
+  // stages.cpp (is_second_loss: census.cpp)
   void evaluate(Time now, Actions& actions);
   void refresh_assessments(Time now);
   bool advance_stage(Time now, Actions& actions);
@@ -177,12 +177,12 @@
   [[nodiscard]] double growth_limit() const;
   [[nodiscard]] double trusted_capacity() const;
   [[nodiscard]] Duration longest_stay() const;
-  // terms_and_log.cpp
+  // terms_and_log.cpp (with stage_value), publishing.cpp, stored_records.cpp, check.cpp
   [[nodiscard]] bool without_fleet_and_store() const { return !linked_ && !has_stored_state_; }
   [[nodiscard]] Terms terms(Time now) const;
   [[nodiscard]] Verdict effective_verdict(const OfficeAssessment& assessment) const;
   [[nodiscard]] bool is_rate_bounded(const OfficeAssessment& assessment) const;
-  // Of the warm rate, for all controllers together.
+  // The part of the warm rate that all controllers together may send to a cold office.
   [[nodiscard]] double allowance(const OfficeAssessment& assessment) const;
   [[nodiscard]] double warm_rate(const OfficeAssessment& assessment) const;  // 0: unknown
   [[nodiscard]] double max_rate(Time now, const OfficeAssessment& assessment) const;
@@ -194,7 +194,7 @@
   [[nodiscard]] bool published_as_not_ended(ServerId id) const;
   [[nodiscard]] std::optional<OfficeValue> office_value(Time now, const OfficeAssessment& assessment) const;
   [[nodiscard]] Due office_due(Time now, const OfficeAssessment& assessment, const OfficeValue& value,
-                               bool others, bool reporter) const;
+                               bool returning, bool reporter) const;
   bool is_reporter(ServerId id);
   void publish_fact(Time now, facts::Key key, std::string value, int signature, Actions& actions);
   void persist(Time now, Actions& actions);
@@ -231,13 +231,13 @@
   std::map<ServerId, Peak> peaks_;
   std::vector<OfficeAssessment> assessments_;
   Time assessments_valid_until_ = Time::min();
-  std::set<ServerId> unbounded_noted_;
+  std::set<ServerId> unbounded_noted_;    // logged: no bound on the rate is known
   std::set<ServerId> changed_instances_;  // by the last list
   std::map<ServerId, bool> reporter_cache_;
   mutable std::optional<PeerSummary> summary_;
   Time peer_restarted_at_ = Time::min();  // the last restart of a member that was observed
-  Time offices_due_at_ = Time::min();     // when an office's fact may be due
-  std::tuple<Stage, bool, bool, bool, bool> published_inputs_{};  // stage and the like at the last check
+  Time offices_due_at_ = Time::min();     // when a fact about an office may next be due
+  std::tuple<Stage, bool, bool, bool, bool> published_inputs_{};  // of publish_offices() at its last check
   bool own_rates_changed_ = true;
   std::optional<ListValue> published_list_;
   std::optional<Terms> terms_;
--- a/src/fleet/recovery/verdict.cpp
+++ b/src/fleet/recovery/verdict.cpp
@@ -14,23 +14,24 @@
 }
 
 Office OfficeEvidence::current_instance(const OfficeRecord& record) {
-  const auto is_direct = [](const Entry& l) { return l.evidence.rank <= Rank::own; };
+  // Listed, or observed by a survivor or by this process: where there is such evidence, no peer's counts.
+  const auto is_direct = [](const Entry& entry) { return entry.evidence.rank <= Rank::own; };
   Time last = Time::min();
-  for (const Entry& l : record.entries)
-    if (is_direct(l)) last = std::max(last, or_earliest(l.observed_at));
+  for (const Entry& entry : record.entries)
+    if (is_direct(entry)) last = std::max(last, or_earliest(entry.observed_at));
   for (const EndedInstance& e : record.ended) last = std::max(last, e.observed_at);
   // A stored instance younger than every direct observation counts: those are of an earlier instance.
-  const auto eligible = [&](const Entry& l) {
-    return is_direct(l) || (l.evidence.rank == Rank::stored && or_earliest(l.observed_at) > last);
+  const auto eligible = [&](const Entry& entry) {
+    return is_direct(entry) || (entry.evidence.rank == Rank::stored && or_earliest(entry.observed_at) > last);
   };
-  const bool any =
+  const bool any_direct =
       !record.ended.empty() || std::any_of(record.entries.begin(), record.entries.end(), is_direct);
   using Order = std::tuple<std::uint64_t, int, ListId, Time, Office>;
   std::optional<Order> best;
   const auto offer = [&](const Order& order) { best = best ? std::max(*best, order) : order; };
-  for (const Entry& l : record.entries)
-    if (const Evidence& e = l.evidence; !any || eligible(l))
-      offer({e.office.start, -static_cast<int>(e.rank), e.list, or_earliest(l.observed_at), e.office});
+  for (const Entry& entry : record.entries)
+    if (const Evidence& e = entry.evidence; !any_direct || eligible(entry))
+      offer({e.office.start, -static_cast<int>(e.rank), e.list, or_earliest(entry.observed_at), e.office});
   for (const EndedInstance& e : record.ended) offer({e.office.start, 0, e.list, e.observed_at, e.office});
   return best ? std::get<Office>(*best) : Office{};
 }
@@ -40,9 +41,9 @@
                    .verdict = Verdict::trial,
                    .rank = Rank::stored,
                    .state = OfficeState::silent};
-  for (const Entry& l : record.entries)
-    if (l.evidence.rank == Rank::stored)
-      decided.stored_at = std::max(decided.stored_at, or_earliest(l.observed_at));
+  for (const Entry& entry : record.entries)
+    if (entry.evidence.rank == Rank::stored)
+      decided.stored_at = std::max(decided.stored_at, or_earliest(entry.observed_at));
   const auto conclude = [&](Verdict verdict, Rank rank, OfficeState state, const char* reason,
                             const Entry* by = nullptr) {
     if (by != nullptr) decided.observed_at = by->observed_at;
@@ -66,18 +67,18 @@
            std::tuple(or_earliest(a->observed_at), severity(a->evidence.state), a->evidence.source) >
                std::tuple(or_earliest(b->observed_at), severity(b->evidence.state), b->evidence.source);
   };
-  for (const Entry& l : record.entries) {
-    const Evidence& e = l.evidence;
+  for (const Entry& entry : record.entries) {
+    const Evidence& e = entry.evidence;
     if (e.office.start != office.start || e.office.at != office.at) continue;
     if (const SourceKind kind = source_kind(e); kind == SourceKind::observation) {
-      (is_up(e.state) ? ups : downs).push_back(&l);
+      (is_up(e.state) ? ups : downs).push_back(&entry);
     } else if (kind == SourceKind::store) {
-      if (younger(&l, stored)) stored = &l;
+      if (younger(&entry, stored)) stored = &entry;
     } else if (!is_ended(e.state) &&
                (listed == nullptr ||
                 std::tuple(e.list, severity(e.state)) >
                     std::tuple(listed->evidence.list, severity(listed->evidence.state)))) {
-      listed = &l;
+      listed = &entry;
     }
   }
   if (listed != nullptr)
@@ -90,6 +91,7 @@
     return std::all_of(downs.begin(), downs.end(), [&](const Entry* down) {
       const bool ranks_as_high = answer->evidence.rank <= down->evidence.rank;
       const Duration grace = ranks_as_high ? settings_.answer_grace : Duration{};
+      // An unknown time is Time::min(): the grace is not subtracted from it, as that would overflow.
       return or_earliest(answer->observed_at) >=
              or_earliest(down->observed_at) - (down->observed_at ? grace : Duration{});
     });
@@ -100,13 +102,13 @@
     return younger(a, b);
   };
   const Entry* answer = nullptr;
-  for (const Entry* l : ups)
-    if (outweighs_downs(l) && stronger(l, answer)) answer = l;
+  for (const Entry* entry : ups)
+    if (outweighs_downs(entry) && stronger(entry, answer)) answer = entry;
   if (answer != nullptr)
     return conclude(Verdict::trusted, answer->evidence.rank, answer->evidence.state, "observed up", answer);
   const Entry* down = nullptr;
-  for (const Entry* l : downs)
-    if (younger(l, down)) down = l;
+  for (const Entry* entry : downs)
+    if (younger(entry, down)) down = entry;
   if (down != nullptr)
     return conclude(Verdict::trial, down->evidence.rank, down->evidence.state, "refused or silent", down);
   if (stored == nullptr)
@@ -128,8 +130,9 @@
   if (d.decays) {
     assessment.confidence =
         is_up(d.state) ? std::min(confidence(assessment.age, settings_.half_life_state), 1.0) : 0.0;
-    const bool listed = confidence(assessment.age, settings_.half_life_list) >= settings_.trust_threshold;
-    if (listed && assessment.confidence >= settings_.trust_threshold) {
+    const bool address_is_current =
+        confidence(assessment.age, settings_.half_life_list) >= settings_.trust_threshold;
+    if (address_is_current && assessment.confidence >= settings_.trust_threshold) {
       assessment.verdict = Verdict::trusted;
       assessment.reason = "stored as up recently";
     }
@@ -138,6 +141,9 @@
   return assessment;
 }
 
+// Cold until the uptime reaches the ramp. An office whose start is not known counts as warm, unless an
+// earlier start of it was reported; one judged by the store alone counts as cold once the stored evidence is
+// too old by half_life_warm.
 void OfficeEvidence::assess_warmth(Time now, const OfficeRecord& record, Time stored_at,
                                    OfficeAssessment& assessment) const {
   const bool is_newest = assessment.office.start == record.newest_start && record.first_observed_at;
@@ -192,11 +198,11 @@
     return Duration(static_cast<Duration::rep>(half_lives * static_cast<double>(half_life.count()))) +
            Duration(1);
   };
-  for (const Entry& l : record.entries) {
-    if (!l.observed_at || source_kind(l.evidence) != SourceKind::store) continue;
+  for (const Entry& entry : record.entries) {
+    if (!entry.observed_at || source_kind(entry.evidence) != SourceKind::store) continue;
     for (const Duration half_life :
          {settings_.half_life_state, settings_.half_life_list, settings_.half_life_warm})
-      offer(*l.observed_at + expiry(half_life));
+      offer(*entry.observed_at + expiry(half_life));
   }
   if (settings_.ramp <= Duration{}) return next;
   if (record.first_observed_at) offer(*record.first_observed_at + settings_.ramp);
--- a/tests/fleet/coordinator_world.h
+++ b/tests/fleet/coordinator_world.h
@@ -52,9 +52,9 @@
     // By node: whether it was up when the bulletin first listed the office as ended; empty unless the fleet
     // was fully connected then and has been since.
     std::vector<bool> witnesses{};
-    std::deque<Time> sent{};          // within the fall span
+    std::deque<Time> sent{};          // set-ups within recovery.fall_span
     std::uint64_t falls = 0;          // failures under overload
-    double max_allowance_used = 0.0;  // largest part of its allowance sent within the fall span while cold
+    double max_allowance_used = 0.0;  // largest part of allowed() sent while cold
   };
   using Record = std::pair<std::string, Time>;
   struct Node {
@@ -62,8 +62,8 @@
     std::unique_ptr<OfficeObservations> sightings;
     std::map<std::string, Record> store;
     std::optional<recovery::Terms> terms;
-    std::map<ServerId, std::pair<Time, std::uint64_t>>
-        send_slots;                   // the next slot, and for which office start
+    // The next slot, and for which office start.
+    std::map<ServerId, std::pair<Time, std::uint64_t>> send_slots;
     std::map<ServerId, Time> trying;  // a trial is in progress until then
     std::map<ConnectionId, std::size_t> connections;
     std::vector<Stage> stages;
@@ -71,6 +71,8 @@
     std::uint64_t served = 0, refused = 0, failed = 0, restarts = 0, bulletin_lifetime = 0, push_messages = 0,
                   push_bytes = 0;
     bool bulletin = true;  // the bulletin is reachable
+    // urgent_open: when class 1 first opened; alarm: the scheduled tick; list_since: first list since
+    // reachable.
     Time started_at{}, urgent_open = Time::max(), alarm = Time::max(), list_since = Time::max();
   };
 
@@ -90,10 +92,10 @@
   void set_loss(double loss) { settings_.loss = loss; }
   void set_bulletin(std::size_t node, bool reachable);
   void set_bulletins(bool reachable);
-  void list(std::size_t office,
-            recovery::OfficeState seen);  // changes the bulletin's entry and sends the list
-  void restart_bulletin();                // its event numbers start again from 1
-  void replace(std::size_t office);       // a new start, cold, at another address
+  // Changes the bulletin's entry and sends the list.
+  void list(std::size_t office, recovery::OfficeState seen);
+  void restart_bulletin();           // its event numbers start again from 1
+  void replace(std::size_t office);  // a new start, cold, at another address
   // An observation by the node's core.
   void observe(std::size_t node, ServerId office, core::OfficeObserver::OfficeObservation what) {
     if (nodes[node].sightings->saw(now_, office, what)) schedule_tick(node);
@@ -108,11 +110,12 @@
   [[nodiscard]] Time now() const { return now_; }
   [[nodiscard]] bool all(Stage stage) const;
   [[nodiscard]] std::vector<bool> usable(std::size_t node) const;
-  [[nodiscard]] bool fully_connected()
-      const;                           // no link is blocked, and all that are up hold each other alive
+  // No link is blocked, and all nodes that are up hold each other alive.
+  [[nodiscard]] bool fully_connected() const;
   [[nodiscard]] bool agreed() const;   // all that are up use the same offices
   [[nodiscard]] bool correct() const;  // and these are the offices that answer
-  // Set-ups that the office may be sent within the fall span, with the tolerance of the rule.
+  // Set-ups within recovery.fall_span above which a cold office fails: the configured multiple of the warm
+  // rate at its age, with a tolerance of three times its root plus 3.
   [[nodiscard]] double allowed(const Office& office) const;
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
   void reset_counts();
@@ -124,11 +127,12 @@
   std::vector<Office> offices;
   std::array<std::uint64_t, std::variant_size_v<CoordinatorEvent> + 1> steps{};  // by event kind; last: ticks
   std::uint64_t suspicions = 0, deaths = 0;  // false ones, raised by a member's own probe or time-out
-  // Set-ups to an office more than 250 ms after the node's own bulletin listed it as gone.
+  // Set-ups to an office more than 250 ms after the node's own bulletin listed it as draining or gone.
   std::uint64_t sent_to_gone = 0;
-  Duration late_to_gone{};  // the latest set-up after any live and reachable source listed the office as gone
-  Duration
-      late_by_push{};      // the same where the fleet was and stayed fully connected since that source's list
+  // The longest time from when a live and reachable source listed an office as ended to a set-up sent to it.
+  Duration late_to_gone{};
+  // The same since the bulletin listed it, on a node up then, where the fleet has been fully connected since.
+  Duration late_by_push{};
   double warm_rate = 0.0;  // set-ups per second that a warm office carries
 
  private:
