--- a/src/circuits/group.h
+++ b/src/circuits/group.h
@@ -2,8 +2,8 @@
 //
 // Holds the state of each circuit at this end and covers selection, dual seizure (glare), release,
 // reset, blocking, and the audits that compare this end's view with the far end's and resolve
-// mismatches. Does no I/O, reads no clock, starts no thread, and never drops a call that both ends
-// know.
+// mismatches. Does no I/O, reads no clock and starts no thread. An audit never drops a call that both
+// ends know.
 //
 // Follows ISUP (ITU-T Q.764: 2.9.1 dual seizure, 2.8.2 blocking, 2.9.3 reset, 2.8.3 circuit group
 // query; message names from Q.763), with two additions for a connection that can break and come back:
@@ -15,8 +15,8 @@
 //   used only for circuits with no message in flight. Messages of one connection arrive in order or not
 //   at all.
 // - A call stays established without a connection. Calls that had not been answered when the connection
-//   broke are ended at both ends. Established calls continue and are compared when the connection is
-//   back.
+//   broke are ended at both ends. Established calls continue for up to max_silence and are compared when
+//   the connection is back.
 //
 // Dual seizure: the end with the higher signalling point code controls the circuits with even codes,
 // the other end those with odd codes (Q.764, 2.9.1.4). If both ends have seized a circuit, the call of
@@ -64,7 +64,7 @@
   void release(Time now, std::uint64_t call, bool outgoing, int cause, GroupActions& actions);  // by this end
   void block(Time now, Cic first, std::uint32_t count, bool at_once, GroupActions& actions);
   void unblock(Time now, Cic first, std::uint32_t count, GroupActions& actions);
-  // The circuits themselves fail (a departamento's lines) and come back; their calls end.
+  // The circuits themselves fail (a region's lines) and come back; their calls end.
   void lose(Time now, Cic first, std::uint32_t count, GroupActions& actions);
   void restore(Time now, Cic first, std::uint32_t count, GroupActions& actions);
   void audit_now(Time now, GroupActions& actions);
@@ -142,8 +142,8 @@
   struct Timer {
     Time at{};
     Cic cic = 0;
-    std::uint32_t sent = 0;  // of the circuit when the timer was set; a change since then cancels it
-    std::uint32_t epoch = 0;
+    std::uint32_t sent = 0;   // of the circuit when the timer was set; a change since then cancels it
+    std::uint32_t epoch = 0;  // likewise
   };
   static std::uint64_t key(std::uint64_t call, bool outgoing) { return call * 2 + (outgoing ? 1U : 0U); }
   static bool holds_call(State s) {
@@ -184,24 +184,24 @@
 
   const GroupSettings settings_;
   std::vector<Circuit> circuits_;
-  IdleSet idle_;   // all selectable circuits
-  IdleSet own_;    // selectable circuits that this end controls
-  IdleSet other_;  // selectable circuits that the far end controls
-  std::unordered_map<std::uint64_t, Cic> calls_;
+  IdleSet idle_;                                  // all selectable circuits
+  IdleSet own_;                                   // selectable circuits that this end controls
+  IdleSet other_;                                 // selectable circuits that the far end controls
+  std::unordered_map<std::uint64_t, Cic> calls_;  // by key()
   // All timers of a queue have the same duration, so the first one is due next.
   std::deque<Timer> release_retries_;
-  std::deque<Timer> confirmations_;
-  std::deque<Cic> to_settle_;
+  std::deque<Timer> confirmations_;  // second queries of circuits that mismatched once
+  std::deque<Cic> to_settle_;        // circuits that mismatched twice
   Time settle_due_ = Time::max();
   Time audit_due_ = Time::max();
-  Time silence_ends_at_ = Time::max();
+  Time silence_ends_at_ = Time::max();  // without a connection: when established calls end
   bool up_ = false;
   std::uint32_t epoch_ = 0;  // number of connections so far
   std::uint32_t busy_ = 0;   // circuits with a call
   std::uint32_t last_token_ = 0;
-  Cic audit_next_ = 0;         // first circuit of the next query
-  bool audit_urgent_ = false;  // query the ranges without pauses, as after a reconnection
-  std::uint32_t urgent_token_ = 0;
+  Cic audit_next_ = 0;              // first circuit of the next query
+  bool audit_urgent_ = false;       // query the ranges without pauses, as after a reconnection
+  std::uint32_t urgent_token_ = 0;  // of the last urgent query; its response triggers the next one
   Counts counts_;
 };
 
--- a/src/circuits/group_audit.cpp
+++ b/src/circuits/group_audit.cpp
@@ -108,7 +108,7 @@
 }
 
 // Resolves circuits that mismatched twice without a change in between. A call that only this end knows
-// has ended; a call that only the far end knows is reset.
+// is ended; if the far end knows another call, the circuit is reset.
 void Group::settle(Time now, GroupActions& actions) {
   settle_due_ = Time::max();
   for (std::uint32_t n = 0; n < settings_.settle_batch && !to_settle_.empty();) {
--- a/src/circuits/group_receive.cpp
+++ b/src/circuits/group_receive.cpp
@@ -4,7 +4,7 @@
 namespace reeltack::circuits {
 namespace {
 
-constexpr int kCircuitNotAvailable = 44;
+constexpr int kCircuitNotAvailable = 44;  // Q.850 cause
 
 }  // namespace
 
@@ -62,14 +62,14 @@
     }
     set_state(m.cic, State::idle, 0);
   } else if (c.state == State::resetting || c.state == State::releasing) {
-    if (!outdated) return false;
+    if (!outdated) return false;  // the far end would have completed our reset or release first
     ++counts_.stale;  // our reset or release is the outdated message, and the far end concludes the same
     set_state(m.cic, State::idle, 0);
   } else if (c.state != State::idle) {
-    return false;  // both ends know of a call here
+    return false;  // protocol violation: both ends know of a call here
   }
-  // A block that the far end had not received does not reject a seizure that crosses it; a lost circuit
-  // does.
+  // A block that the far end has not acknowledged does not reject a seizure, which may cross it; a lost
+  // circuit does.
   if (c.lost || (c.blocked_local && c.block_acknowledged) || known) {
     set_state(m.cic, State::releasing, m.call);
     circuits_[m.cic].tries = 1;
@@ -117,11 +117,11 @@
         circuits_[cic].blocked_remote = blocked;
         update_idle_sets(cic);
       }
-      Message answer;
-      answer.kind = blocked ? Kind::bla : Kind::uba;
-      answer.cic = m.cic;
-      answer.count = m.count;
-      actions.emplace_back(Send{std::move(answer)});
+      Message acknowledgement;
+      acknowledgement.kind = blocked ? Kind::bla : Kind::uba;
+      acknowledgement.cic = m.cic;
+      acknowledgement.count = m.count;
+      actions.emplace_back(Send{std::move(acknowledgement)});
       return true;
     }
     case Kind::bla:
--- a/src/core/call_table.cpp
+++ b/src/core/call_table.cpp
@@ -1,5 +1,5 @@
-// The call table and the office list: gives each call its one final answer, counts the established calls of
-// each office, and bounds how long records of ended calls are retained. Established calls are never
+// The call table and the office list: rejects calls with their one final answer, counts the established calls
+// of each office, and bounds how long records of ended calls are retained. Established calls are never
 // discarded.
 #include "core/core.h"
 
@@ -11,6 +11,7 @@
 // Limits the records of ended calls, so that a client sending at full speed cannot exhaust the memory.
 constexpr std::size_t kMaxRetained = 4096;
 
+// From the note in an office's release.
 FullReason full_reason(const std::string& note) {
   if (note == "blocked") return FullReason::no_lines;
   if (note == "swamped") return FullReason::processor;
@@ -48,7 +49,7 @@
   record.reason = reason;
   --open_calls_;
   ++(phase == Phase::refused ? counts_.refused : phase == Phase::failed ? counts_.failed : counts_.cancelled);
-  if (phase != Phase::cancelled)  // calls cancelled by their callers are not counted
+  if (phase != Phase::cancelled)  // the metrics leave out calls cancelled by their callers
     metrics_.count_request(record.request.arrival.call_class,
                            phase == Phase::refused ? figures::Outcome::busy : figures::Outcome::failure);
   const CallId call = record.request.arrival.call;
@@ -63,7 +64,7 @@
   record.request.description = {};
   retained_.emplace_back(now_ + kRetention, record.request.arrival.call);
   while (!retained_.empty() && (retained_.size() > kMaxRetained || retained_.front().first <= now_)) {
-    if (retained_.front().second == record.request.arrival.call) break;
+    if (retained_.front().second == record.request.arrival.call) break;  // still in use here
     calls_.erase(retained_.front().second);
     retained_.pop_front();
   }
@@ -81,6 +82,7 @@
   retain_ended(record);
 }
 
+// Notifies the backend of an office's first established call and of the end of its last one.
 void Core::change_established_count(ServerId office, int change) {
   int& established = established_at_office_[office];
   established += change;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -4,7 +4,7 @@
 // attempt is cancelled, its office is notified before the decision module.
 // Wire formats, sockets and JSON belong to the frontends and backends. The core never blocks on a peer.
 // Thread safety: public functions may be called from any thread unless noted; only the core's thread accesses
-// the call table. One source file per stage of a request: take_in, admit, route, send, relay and book.
+// the call table. Source files: inbox (thread and timers), admit, route, send, relay and call_table.
 #pragma once
 
 #include <atomic>
@@ -50,8 +50,8 @@
   virtual void rejected(CallId call, FailureReason reason, Duration retry_after) = 0;
   virtual void released(CallId call, int cause) = 0;
   virtual void ended(CallId call) = 0;  // released by its caller: its state can be discarded
-  // False: the caller of an open call has left but has not reported it yet. Asked before an attempt for a
-  // call that has been queued.
+  // False: the caller of an open call has left, which the frontend has not reported yet. Queried before an
+  // attempt for a call that has been queued.
   virtual bool still_waiting(CallId /*call*/) { return true; }
 };
 
@@ -147,7 +147,7 @@
 
   void refuse_all();  // answers every open call at once; used when the time for shutting down is up
 
-  [[nodiscard]] bool ready() const { return ready_; }  // the module has received a list of offices
+  [[nodiscard]] bool ready() const { return ready_; }                   // an office has been listed
   [[nodiscard]] std::size_t open_calls() const { return open_calls_; }  // without their final answer
   // Open or established calls. May count a call twice while it is being established.
   [[nodiscard]] std::size_t in_flight() const { return open_calls_ + established_calls_; }
@@ -155,10 +155,10 @@
     std::atomic<std::uint64_t> requests{0}, established{0}, refused{0}, failed{0}, cancelled{0}, attempts{0};
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  // The values in effect in the module and, for the limit on attempts, in the core. They never change.
+  // The settings in effect in the module, and the limit on attempts in effect in the core. They never change.
   [[nodiscard]] const Settings& active_settings() const { return controller_.settings(); }
   [[nodiscard]] std::uint32_t max_attempts() const { return settings_.attempts_cap; }
-  // The operators' metrics, counted as each request ends.
+  // The operators' metrics; a request is counted as it ends.
   [[nodiscard]] const figures::Metrics& metrics() const { return metrics_; }
 
  private:
@@ -180,8 +180,8 @@
     FailureReason reason = FailureReason::none;
     std::uint32_t attempts = 0;
     std::optional<Attempt> pending;
-    ServerId office{};
-    std::string answer;
+    ServerId office{};   // where the call is established
+    std::string answer;  // that office's description of the call
     std::optional<std::multimap<Time, Timer>::iterator> expiry_timer;
   };
   using Task = std::function<void()>;
--- a/src/core/send.cpp
+++ b/src/core/send.cpp
@@ -17,7 +17,8 @@
   if (r == nullptr || r->phase != Phase::open) return;
   const Attempt attempt{r->attempts, action.server, now_};
   if (!roster_.ready(action.server) || r->pending || r->attempts >= settings_.attempts_cap) {
-    // Enforces the invariants against a faulty decision: such an attempt ends at once, unsent.
+    // Enforces the invariants against a faulty decision: such an attempt ends at once, unsent. It is counted,
+    // so that attempt numbers remain the same as in the module.
     ++r->attempts;
     return report_attempt_ended(*r, attempt, AttemptOutcome::not_sent, false);
   }
--- a/src/limits/shutdown.cpp
+++ b/src/limits/shutdown.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Callers may still connect for 0.4 s and send for 0.2 s more; on a machine short of processor time, what
-// they send may be read much later.
+// After the request to end, callers may still connect for 0.4 s and send for 0.2 s more; on a machine short
+// of processor time, what they send may be read much later.
 constexpr Duration kAcceptTime = 1500ms;
 // With short deadlines there is no time for requests that are read late, but all that may arrive must be
 // accepted.
@@ -17,8 +17,9 @@
 // that, since a call that is unanswered at SIGKILL is lost.
 constexpr Duration kMaxDeadline = 3s;
 constexpr Duration kRefuseAfterDeadline = 350ms;
-// The parts of the remaining 0.7 s in which first the offices, whose releases go to callers, and then the
-// callers may close their ends. The end of the program needs some of it too.
+// The parts of the time from that refusal to SIGKILL (0.35 s; less for deadlines below 0.3 s) in which first
+// the offices, whose releases go to callers, and then the callers may close their ends. The end of the
+// program needs some of it too.
 constexpr Duration kOfficesCloseTime = 80ms;
 constexpr Duration kCallersCloseTime = 100ms;
 
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -1,6 +1,6 @@
 // The listed offices, their latest entries, and which of them get no new calls.
 //
-// Holds the entries of the list in force and whether each office is reachable, and tells which offices'
+// Holds the entries of the list in force and whether each office is reachable, and reports which offices'
 // established calls have ended because the office has gone, is missing from a complete list or has restarted.
 // An office that has gone is not retained.
 //
@@ -20,15 +20,15 @@
 class Roster {
  public:
   // Applies a complete list or changes to it. Returns the offices whose established calls end with it: gone,
-  // missing from a complete list, or restarted at a later time than reported before; each once, by id.
+  // missing from a complete list, or restarted (a later start than reported before); each once, by id.
   std::vector<ServerId> update(bool complete, std::span<const ServerEntry> entries);
-  // Records the result of dialling; ignored for offices that are not listed. A link that fails without having
-  // been up before counts too: calls for it would come back unsent. True: the office's reachability has
-  // changed.
+  // Records the result of dialling; ignored for offices that are not listed. A connection that fails without
+  // having been up before counts too: calls for the office would come back unsent. True: the office's
+  // reachability has changed.
   bool set_reachable(ServerId office, bool up);
 
   [[nodiscard]] bool contains(ServerId office) const { return members_.contains(office); }
-  [[nodiscard]] bool ready(ServerId office) const;  // listed as ready
+  [[nodiscard]] bool ready(ServerId office) const;  // listed as ready, even if unreachable
   [[nodiscard]] std::size_t size() const { return members_.size(); }
   // The number of listed offices that get no new calls: draining or unreachable.
   [[nodiscard]] std::size_t unavailable() const;
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -1,5 +1,5 @@
-// Steps 4 and 5: one unanswered set-up per server. Decides which calls are shed from a queue, moved to
-// another server or sent next. Every send passes send(), which holds the five rules.
+// Steps 4 and 5 (listed in policy.cpp): one unanswered set-up per server. Decides which calls are refused
+// from a queue, moved to another server or sent next. Every set-up passes send(), which checks five rules.
 #pragma once
 
 #include "policy/admission.h"
@@ -13,24 +13,24 @@
 // Late calls are restricted where there are at least this many gateways per server. Deciding by this
 // gateway's own tries instead misjudged small fleets with uneven traffic.
 constexpr std::size_t kManyGateways = 5;
-// Where delays are known to be short, an attempt is considered lost after kQuickPatience mean delays plus
-// kDeviations mean deviations (as in RFC 6298), doubled with each consecutive loss, and after at least
-// kMinPatience of the aim. Elsewhere it is considered lost after kSlowPatience mean delays, at least an aim.
+// At a server known to be quick, an attempt is considered lost after kQuickPatience mean delays plus
+// kDeviations mean deviations (as in RFC 6298), at least kMinPatience aims, doubled with each consecutive
+// loss. Elsewhere, and at most, it is considered lost after kSlowPatience mean delays, at least an aim.
 constexpr double kSlowPatience = 4.0;
 constexpr double kQuickPatience = 2.0;
 constexpr double kDeviations = 4.0;
 constexpr double kMinPatience = 0.1;
 
 struct Dispatch : Admission {
-  // EQ 3: refuses calls below the top level that can no longer be answered in time: delta t measured + time
-  // in the queue >= tau * f.
+  // EQ 3: refuses calls that can no longer be answered in time: delta t measured (`expected`) + time in the
+  // queue >= tau * f, or, at the top level, too late for the caller (see latest_send()).
   void shed(Queue& queue, Duration expected) {
     while (!queue.by_latest_send.empty() && queue.by_latest_send.begin()->first <= now_ + expected)
       refuse(calls_.at(waiting_.at(queue.by_latest_send.begin()->second)));
   }
 
-  // EXCEPTION (long or stuck queue beside an idle server): repeats step 3 for the oldest call once the queue
-  // fails the spill test.
+  // EXCEPTION (long or stuck queue beside an idle server): while the server is held back or its queue fails
+  // the spill test, moves the oldest call to the quickest server with an empty queue that can send it now.
   void relieve(Server& s) {
     while (!s.queue.empty()) {
       const std::optional<CallId> id = next_call(s.queue, Duration{});
@@ -52,7 +52,7 @@
     }
   }
 
-  // EQ 4: the oldest call among the levels, from the top down, whose calls together drain within tau * f.
+  // EQ 4: the oldest call among the levels, from the top down, whose calls together are sent within tau * f.
   std::optional<CallId> next_call(const Queue& queue, Duration expected) {
     std::size_t sum = 0;
     std::optional<std::pair<std::uint64_t, CallId>> oldest;
@@ -66,6 +66,7 @@
     return oldest ? std::optional{oldest->second} : std::nullopt;
   }
 
+  // Takes the next call from the queue and sends or refuses it; false: none was taken.
   bool dispatch(Server& s) {
     if (!can_accept(s)) return false;
     const std::optional<CallId> id = next_call(s.queue, delay(s));
@@ -81,13 +82,14 @@
     return true;
   }
 
-  // Checks the five rules, each on this gateway's own knowledge, and sends.
+  // Checks the five rules, each on this gateway's own knowledge, and sends. A call that may have had an
+  // effect is not sent again.
   bool send(Call& call, Server& s) {
     if (call.request.caller_leaves_at <= now_) return false;       // 1: answer in time
     if (call.state == CallState::sent || s.pending) return false;  // 2: one pending attempt at a time
     if (!is_ready(s) || !is_open_to(call, s)) return false;        // 3: nothing to a draining server
     if (!has_send_slot(s)) return false;                           // 4: no overload of a cold server
-    if (now_ < call.not_before) return false;                      // 5: wait for the release
+    if (now_ < call.not_before) return false;                      // 5: wait for the release guard
     if (call.attempts >= settings_.attempts_cap || call.may_have_run) return false;
     s.next_send_at = (is_cold(s) ? s.next_send_at : now_) + jittered(send_interval(s));
 
--- a/src/policy/outcome_handling.h
+++ b/src/policy/outcome_handling.h
@@ -8,8 +8,9 @@
 namespace reeltack::policy {
 
 constexpr double kNewestWeight = 0.3;  // of the newest answer in the mean of the measured delays
-// From its second consecutive failure on, a server is backed off for this fraction of the aim, doubled with
-// each further failure up to kMaxBackoff aims; after a back-off a single set-up is the trial.
+// From its second consecutive failure on (the first if it was full or late), a server is backed off for this
+// fraction of the shortest aim (of two own share intervals if longer), doubled with each further failure up
+// to kMaxBackoff; after a back-off a single set-up is the trial.
 constexpr double kFirstBackoff = 0.25;
 constexpr double kMaxBackoff = 2.0;
 constexpr std::uint32_t kLoggedFailures = 4;  // consecutive failures after which a line is logged
@@ -67,7 +68,8 @@
         if (ended.number_busy) return record_answer(s, without_own_pause(s, ended.elapsed));
         [[fallthrough]];
       case AttemptOutcome::timeout:
-        // There was no answer, but once an aim has passed the elapsed time counts as a delay all the same.
+        // An error, or no answer; but once an aim has passed, the elapsed time counts as a delay all the
+        // same.
         s.unanswered += ended.outcome == AttemptOutcome::timeout ? 1 : 0;
         if (ended.elapsed >= shortest_aim_) record_delay(s, ended.elapsed);
         [[fallthrough]];
@@ -81,7 +83,8 @@
     }
   }
 
-  // Step 5: a set-up answered with full goes to one other server that can take it; other failures are final.
+  // Step 5: a call that never ran goes to another server that can take it, only once unless the connection
+  // failed; else it is refused. A call that may have had an effect, or whose number is busy, fails.
   void after_failure(Call& call, const AttemptEnded& ended) {
     const bool effect_matters = settings_.classes[call.request.call_class].effect != Effect::repeatable;
     const bool never_ran = ended.outcome == AttemptOutcome::full ||
@@ -106,6 +109,7 @@
     guarded_.emplace(retry_at, call.request.call);
   }
 
+  // Binds the calls whose release guard has ended.
   void bind_guarded() {
     while (!guarded_.empty() && guarded_.begin()->first <= now_) {
       const CallId id = guarded_.begin()->second;
@@ -193,7 +197,7 @@
     if (++s.failures == kLoggedFailures) log("fails in a row, rests between trials", s);
   }
 
-  std::set<std::pair<Time, CallId>> guarded_;
+  std::set<std::pair<Time, CallId>> guarded_;  // by the time at which they are bound again
 };
 
 }  // namespace reeltack::policy
--- a/src/policy/server_selection.h
+++ b/src/policy/server_selection.h
@@ -1,5 +1,5 @@
-// Step 3: selects the server to which a call is bound, and queues the call there, or until a server list
-// comes. Queues are changed by insert() and remove() alone. This layer sends and refuses nothing.
+// Step 3: selects the server to which a call is bound, and queues the call there, or unbound while no server
+// is open to it. Queues are changed by insert() and remove() alone. This layer sends and refuses nothing.
 #pragma once
 
 #include "policy/eligibility.h"
@@ -13,6 +13,7 @@
 constexpr double kFewLinesFraction = 0.2;
 
 struct ServerSelection : Eligibility {
+  // Whether the server is ready, not at this gateway's own place, and at a place to which the call may go.
   [[nodiscard]] bool is_open_to(const Call& call, const Server& s) const {
     if (!is_ready(s)) return false;
     const std::uint32_t place = s.entry.place;
@@ -23,11 +24,12 @@
            std::find(places.begin(), places.end(), place) != places.end();
   }
 
-  // The first choice if it has free lines and passes the time test; else round robin over the servers that
-  // pass it; else any server open to the call.
+  // A cold server with a free send slot; else the first choice (at the call's destination) if it has free
+  // lines and passes the time test; else round robin over the servers that pass it; else the first choice
+  // unless it is held back; else the server with the shortest delay.
   void bind(Call& call) {
     Server* first = nullptr;
-    Server* any = nullptr;
+    Server* quickest = nullptr;
     Server* unfit = nullptr;
     for (auto& [id, s] : servers_) {
       if (!is_open_to(call, s)) continue;
@@ -36,7 +38,7 @@
         continue;
       }
       if (s.entry.place == call.request.destination) first = &s;
-      if (any == nullptr || delay(s) < delay(*any)) any = &s;
+      if (quickest == nullptr || delay(s) < delay(*quickest)) quickest = &s;
       // A send slot at a cold server expires soon, so the next call takes it.
       if (is_cold(s) && !s.pending && s.queue.empty() && would_be_in_time(call, s, kSpillFraction))
         return enqueue(call, s);
@@ -47,7 +49,7 @@
     for (const double fraction : {kSpillFraction, kAimMargin}) {
       if (Server* other = next_in_rotation(call, fraction, nullptr)) return enqueue(call, *other);
     }
-    if (first == nullptr || held_back(*first)) first = any != nullptr ? any : unfit;
+    if (first == nullptr || held_back(*first)) first = quickest != nullptr ? quickest : unfit;
     if (first == nullptr) return enqueue_unbound(call);
     enqueue(call, *first);
   }
@@ -57,7 +59,7 @@
   Server* next_in_rotation(const Call& call, double fraction, const Server* except) {
     Server* best = nullptr;
     double total = 0.0;
-    double quickest = 0.0;
+    double shortest_delay = 0.0;
     std::vector<Server*> candidates;
     for (auto& [id, s] : servers_) {
       if (&s == except || !is_open_to(call, s) || !fits_class_mix(call, s) ||
@@ -65,11 +67,11 @@
         continue;
       candidates.push_back(&s);
       const double server_delay = std::max(seconds(s.mean_delay), 1.0e-6);
-      quickest = quickest == 0.0 ? server_delay : std::min(quickest, server_delay);
+      shortest_delay = shortest_delay == 0.0 ? server_delay : std::min(shortest_delay, server_delay);
     }
     for (Server* s : candidates) {
       const double weight =
-          relative_size(*s) * availability(*s) * quickest / std::max(seconds(s->mean_delay), 1.0e-6);
+          relative_size(*s) * availability(*s) * shortest_delay / std::max(seconds(s->mean_delay), 1.0e-6);
       // The random start keeps gateways from all beginning with the same server.
       s->credit += s->credit == 0.0 ? weight * uniform() : weight;
       total += weight;
@@ -93,7 +95,7 @@
     insert(call, s.queue);
   }
 
-  // EXCEPTION (no server listed): calls wait unbound for the list, under the same time limits.
+  // EXCEPTION (no server open to the call): it waits unbound for a list, under the same time limits.
   void enqueue_unbound(Call& call) {
     log("no server open to a call: it waits for the list");
     call.bound_to.reset();
--- a/src/rules/catalogue.h
+++ b/src/rules/catalogue.h
@@ -3,8 +3,8 @@
 // whatever a file contains.
 //
 // Keys: `module.NAME`, `class.CLASS.NAME`, `tenant.N.NAME`; and `classes`, the class names in order, which no
-// version can change: it shows an extra or misspelt class. A controller's own keys (seed, own place) and
-// default values have no place here.
+// version can change: comparing it shows an extra or misspelt class. A controller's own keys (seed, own
+// place) and default values are not in the catalogue.
 //
 // Thread safety: stateless functions. Errors are texts that name the key, the value found and what is
 // required.
@@ -48,11 +48,11 @@
                                                 std::span<const std::string> class_names,
                                                 std::size_t tenants);
 
-// Violations of bounds that hold for every controller, even for approved rules: more than five attempts, a
+// Violations of bounds that hold for every controller, even for approved rules: not 1 to 5 attempts, a
 // release guard under 300 ms, a class whose aim is longer than its deadline. One line each.
 [[nodiscard]] std::vector<std::string> violated_bounds(const Tree& tree);
-// The severity of `key` having the value `actual` (nothing: absent) where another one is expected: critical
-// if it violates one of those bounds by itself.
+// The severity of `key` having the value `actual` (nothing: absent) where another one is expected: that
+// of its rule, but critical if the value alone violates the bound on attempts or the release guard.
 [[nodiscard]] Severity severity_of(std::string_view key, const std::optional<std::string>& actual);
 
 }  // namespace reeltack::rules
--- a/tests/crossings/connection_test.cpp
+++ b/tests/crossings/connection_test.cpp
@@ -133,12 +133,12 @@
   constexpr std::uint16_t kPort = 24931;
   std::promise<void> go;
   std::atomic<bool> held{false};
-  net::ConnectionListener door(1000, [&, wait = go.get_future().share()](net::Fd fd) {
+  net::ConnectionListener listener(1000, [&, wait = go.get_future().share()](net::Fd fd) {
     held = true;
     wait.wait();
     return std::make_shared<EchoPeer>(std::move(fd), true);
   });
-  door.open({"127.0.0.1", kPort});
+  listener.open({"127.0.0.1", kPort});
   std::vector<net::Fd> callers;
   const auto call = [&] {
     callers.push_back(net::dial({"127.0.0.1", kPort}, net::now() + 20s).fd);
@@ -147,14 +147,14 @@
   call();
   ASSERT_TRUE(await_kernel([&] { return held.load(); }));
   for (int n = 0; n < 200; ++n) call();  // more than are let in at a time
-  std::thread closer([&] { door.close_idle(); });
+  std::thread closer([&] { listener.close_idle(); });
   go.set_value();
   closer.join();
   for (const net::Fd& caller : callers) {
     char answer[8];
     EXPECT_EQ(::recv(caller.get(), answer, sizeof answer, MSG_WAITALL), 8);
   }
-  door.close_all();
+  listener.close_all();
 }
 
 }  // namespace
--- a/tests/crossings/websocket_rig.h
+++ b/tests/crossings/websocket_rig.h
@@ -42,7 +42,7 @@
     ::setsockopt(far.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     far.close();
   }
-  // Turns until the front has let it go, and lets it go as a door does.
+  // Steps until the front has discarded the peer, and then discards it as a listener does.
   [[nodiscard]] bool await_over() {
     const bool ended = await_kernel([this] {
       if (!over) step();
