--- a/src/load/wire.cpp
+++ b/src/load/wire.cpp
@@ -55,8 +55,8 @@
       std::size_t n = 0;
       const auto parsed = platform::parse_sip(text.substr(used), message, n);
       used += n;
-      if (parsed == platform::Parsed::more) return true;
-      if (parsed == platform::Parsed::malformed) {
+      if (parsed == platform::ParseResult::more) return true;
+      if (parsed == platform::ParseResult::malformed) {
         said.push_back({Said::What::unreadable, {}, "no SIP message", {}, false});
         return false;
       }
--- a/src/standin/answerer.cpp
+++ b/src/standin/answerer.cpp
@@ -115,8 +115,8 @@
       std::size_t n = 0;
       const auto parsed = platform::parse_sip(text.substr(used), m, n);
       used += n;
-      if (parsed == platform::Parsed::malformed) return Pipe::kBroken;
-      if (parsed == platform::Parsed::more) return used;
+      if (parsed == platform::ParseResult::malformed) return Pipe::kBroken;
+      if (parsed == platform::ParseResult::more) return used;
       if (m.method.empty() || m.method == "ACK") continue;
       const std::string* id = m.header("Call-ID");
       const auto call = id == nullptr ? std::nullopt : base::parse_hex16(*id);
--- a/tests/fleet/coordinator_world_calls.cpp
+++ b/tests/fleet/coordinator_world_calls.cpp
@@ -19,7 +19,7 @@
   const MemberId self = nodes[i].coordinator->members().self().id;
   for (const Office& office : offices) {
     received.offices.push_back({office.identity, recovery::Rank::listed, office.listed, self, Duration{}});
-    nodes[i].sightings->name(office.identity);
+    nodes[i].sightings->track(office.identity);
   }
   nodes[i].list_since = std::min(nodes[i].list_since, now_);
   deliver(i, CoreEvent{received});
--- a/tests/fleet/fleet_storage_hanging_test.cpp
+++ b/tests/fleet/fleet_storage_hanging_test.cpp
@@ -67,7 +67,7 @@
   const drift::Vote vote{id_of(version), {}};
   storage->put(Store{drift::kHeldRecord, write(version), std::nullopt});
   storage->put(Store{drift::kVoteRecord, write(vote), vote});
-  ASSERT_TRUE(disk.gate.is_met());
+  ASSERT_TRUE(disk.gate.wait_until_blocked());
   const Incarnation next = storage->incarnation() + 100;
   storage->put(Store{kIncarnationKey, std::to_string(next), std::nullopt});
   const Time now(1000s);
--- a/tests/fleet/fleet_storage_test.cpp
+++ b/tests/fleet/fleet_storage_test.cpp
@@ -149,7 +149,7 @@
   }
   {
     const auto storage = disk.start();
-    store::spit(disk.file(), std::string(8192, 'x'));
+    store::write_file(disk.file(), std::string(8192, 'x'));
     std::filesystem::remove(disk.file() + "-wal");
     // SQLite caches the pages that it has read, so only a large enough write or the next start would find the
     // damage. Two failures make the store reopen the file, which finds it at once.
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -30,9 +30,9 @@
   std::size_t used = 0;
   for (std::size_t n = 3; n < whole.size() - 4; ++n)
     ASSERT_EQ(platform::parse_sip(std::string_view(whole).substr(0, n), message, used),
-              platform::Parsed::more)
+              platform::ParseResult::more)
         << n;
-  ASSERT_EQ(platform::parse_sip(whole, message, used), platform::Parsed::whole);
+  ASSERT_EQ(platform::parse_sip(whole, message, used), platform::ParseResult::complete);
   EXPECT_EQ(used, whole.size() - 4);
   EXPECT_EQ(message.body, "abc");
   EXPECT_EQ(*message.header("Call-ID"), "1");
@@ -42,8 +42,8 @@
         "BYE sip:1 SIP/2.0\r\nContent-Length: -1\r\n\r\n", "BYE sip:1 SIP/2.0\r\nno colon\r\n\r\n",
         "BYE sip:1 SIP/2.0\r\nContent-Length: 20000\r\n\r\n",
         "BYE sip:1 SIP/2.0\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"})
-    EXPECT_EQ(platform::parse_sip(bad, message, used), platform::Parsed::malformed) << bad;
-  EXPECT_EQ(platform::parse_sip(std::string(20000, 'x'), message, used), platform::Parsed::malformed);
+    EXPECT_EQ(platform::parse_sip(bad, message, used), platform::ParseResult::malformed) << bad;
+  EXPECT_EQ(platform::parse_sip(std::string(20000, 'x'), message, used), platform::ParseResult::malformed);
 }
 
 TEST(Frames, OfTheBulletinAreWholeOrRefused) {
@@ -108,12 +108,12 @@
   for (std::size_t cut = 0; cut < whole.size(); ++cut) {
     platform::SipMessage message;
     std::size_t used = 0;
-    EXPECT_EQ(platform::parse_sip(whole.substr(0, cut), message, used), platform::Parsed::more) << cut;
+    EXPECT_EQ(platform::parse_sip(whole.substr(0, cut), message, used), platform::ParseResult::more) << cut;
     EXPECT_LE(used, cut == 2 ? 2U : 0U) << cut;  // a blank line before a message may go
   }
   platform::SipMessage message;
   std::size_t used = 0;
-  EXPECT_EQ(platform::parse_sip(whole + "BYE", message, used), platform::Parsed::whole);
+  EXPECT_EQ(platform::parse_sip(whole + "BYE", message, used), platform::ParseResult::complete);
   EXPECT_EQ(used, whole.size());
   EXPECT_EQ(message.body.size(), 12U);
 }
